--- a/eelgrasswick/decisions/choice.py
+++ b/eelgrasswick/decisions/choice.py
@@ -53,10 +53,10 @@
     def __init__(self, policy: placement.Placement) -> None:
         """Choose by a policy; nothing is learned at first."""
         self.work = work.WorkBook()
-        self.strength = strength.StrengthBook()
-        self.ramp = ramp.RampBook()
+        self.strength = strength.StrengthTracker()
+        self.ramp = ramp.RampTracker()
         self.retry = retry.RetryBudget()
-        self._concurrency = concurrency.ConcurrencyBook()
+        self._concurrency = concurrency.ConcurrencyLimits()
         self._shift = shift.ShiftBudget()
         self._policy = policy
 
--- a/eelgrasswick/decisions/concurrency.py
+++ b/eelgrasswick/decisions/concurrency.py
@@ -57,7 +57,7 @@
         self.learned_ms = 0
 
 
-class ConcurrencyBook:
+class ConcurrencyLimits:
     """The limit of each target at one home."""
 
     def __init__(self) -> None:
@@ -71,9 +71,9 @@
             name: The target.
             busy: Young flows that this home has on it.
         """
-        return busy + 1 <= self.most(name)
+        return busy + 1 <= self.limit(name)
 
-    def most(self, name: str) -> float:
+    def limit(self, name: str) -> float:
         """Return the limit of a target."""
         known = self._limits.get(name)
         return known.most if known is not None else FIRST
--- a/eelgrasswick/decisions/health.py
+++ b/eelgrasswick/decisions/health.py
@@ -23,7 +23,7 @@
         self.since_ms = 0
 
 
-class HealthBook:
+class HealthTracker:
     """Counts unanswered opening packets per target."""
 
     def __init__(self) -> None:
--- a/eelgrasswick/decisions/load.py
+++ b/eelgrasswick/decisions/load.py
@@ -35,7 +35,7 @@
     entries: tuple[wire.OpenFlows, ...]
 
 
-class LoadBook:
+class LoadTracker:
     """The latest report of each other home, and what they add up to."""
 
     def __init__(self) -> None:
--- a/eelgrasswick/decisions/ramp.py
+++ b/eelgrasswick/decisions/ramp.py
@@ -15,7 +15,7 @@
 RAMP_MS: typing.Final = 10_000
 
 
-class RampBook:
+class RampTracker:
     """When each target was last begun to be used."""
 
     def __init__(self) -> None:
--- a/eelgrasswick/decisions/strength.py
+++ b/eelgrasswick/decisions/strength.py
@@ -49,7 +49,7 @@
         self.at_ms = 0
 
 
-class StrengthBook:
+class StrengthTracker:
     """Lifetimes and resets of the flows that one home placed."""
 
     def __init__(self) -> None:
--- a/eelgrasswick/homes/tables.py
+++ b/eelgrasswick/homes/tables.py
@@ -22,8 +22,8 @@
     epochs: epoch.EpochLog
     flows: flow.FlowTable
     hints: hint.HintTable
-    loads: load.LoadBook
-    health: health.HealthBook
+    loads: load.LoadTracker
+    health: health.HealthTracker
     replicator: replica.Replicator
     peers: peer.Peers
     outbox: message.Outbox
--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -303,7 +303,7 @@
     )
     report = wire.LoadReport(entries)
     payload = wire.encode(report)
-    book = load.LoadBook()
+    book = load.LoadTracker()
     encode_us = _us(lambda: wire.encode(report))
     decode_us = _us(lambda: wire.decode(payload))
     take_us = _us(lambda: book.take(0, "vm1", report))
--- a/tests/test_strength.py
+++ b/tests/test_strength.py
@@ -15,9 +15,9 @@
 TARGETS: typing.Final = [test_placement.make_target(name) for name in "abcd"]
 
 
-def seen(lives_ms: dict[str, int], seconds: int = 20) -> strength.StrengthBook:
+def seen(lives_ms: dict[str, int], seconds: int = 20) -> strength.StrengthTracker:
     """Play flows of given lifetimes on each target."""
-    book = strength.StrengthBook()
+    book = strength.StrengthTracker()
     for now_ms in range(0, seconds * 1000, 250):
         for name, life_ms in lives_ms.items():
             book.ended(now_ms, name, life_ms, life_ms < 0)
@@ -66,23 +66,23 @@
     assert book.factor("a") == 1.0
 
 
-def fed(lives_ms: typing.Iterable[int], every_ms: int) -> concurrency.ConcurrencyBook:
-    book = concurrency.ConcurrencyBook()
+def fed(lives_ms: typing.Iterable[int], every_ms: int) -> concurrency.ConcurrencyLimits:
+    book = concurrency.ConcurrencyLimits()
     for index, life_ms in enumerate(lives_ms):
-        busy = int(book.most("a")) - 1
+        busy = int(book.limit("a")) - 1
         book.ended(index * every_ms, "a", life_ms, busy)
     return book
 
 
 def test_limit_grows_while_answers_are_fast() -> None:
-    assert fed([40] * 30, 40).most("a") > 20
+    assert fed([40] * 30, 40).limit("a") > 20
 
 
 def test_limit_falls_to_what_the_target_does_in_time() -> None:
     # Twice the capacity comes in. Without a limit the queue at the target
     # grows until every answer is late.
     book = fed([40] * 30 + [900] * 10, 40)
-    assert book.most("a") <= (40 + concurrency.QUEUE_MS) / 40 + 1
+    assert book.limit("a") <= (40 + concurrency.QUEUE_MS) / 40 + 1
     assert not book.room("a", 10)
 
 
@@ -91,20 +91,20 @@
 
 
 def test_long_flows_do_not_lower_the_limit() -> None:
-    assert fed([40, 40, 40, 9000] * 10, 40).most("a") > 20
+    assert fed([40, 40, 40, 9000] * 10, 40).limit("a") > 20
 
 
 def test_boards_raise_the_limit_as_they_grow_old() -> None:
     # After a zone has come back, thousands of boards open again within
     # seconds, and none of them ends.
-    book = concurrency.ConcurrencyBook()
+    book = concurrency.ConcurrencyLimits()
     for _ in range(50):
         book.aged(10_000, "a")
     assert book.room("a", 50)
 
 
 def test_joining_target_is_ramped_but_a_new_vm_ramps_nothing() -> None:
-    book = ramp.RampBook()
+    book = ramp.RampTracker()
     book.present(0, ["a"])
     assert book.factor(0, "a") == 1.0
     book.present(1000, ["a", "b"])
