--- a/eelgrasswick/decisions/admission.py
+++ b/eelgrasswick/decisions/admission.py
@@ -14,11 +14,11 @@
     service,
 )
 
-BASE_RETRY_MS: typing.Final = 1000
+MIN_RETRY_MS: typing.Final = 1000
 SPREAD: typing.Final = 1.0
 
 
-class Demand(typing.NamedTuple):
+class LimitUsage(typing.NamedTuple):
     """What a home knows when a flow asks to be let in.
 
     Attributes:
@@ -50,10 +50,10 @@
     Args:
         fraction: Differs evenly from flow to flow, 0 to 1.
     """
-    return int(BASE_RETRY_MS * (1 + SPREAD * fraction))
+    return int(MIN_RETRY_MS * (1 + SPREAD * fraction))
 
 
-def admit(demand: Demand, fraction: float) -> Refusal | None:
+def admit(demand: LimitUsage, fraction: float) -> Refusal | None:
     """Return None when the flow may come in, or the reason why not.
 
     Args:
--- a/eelgrasswick/decisions/choice.py
+++ b/eelgrasswick/decisions/choice.py
@@ -19,7 +19,7 @@
 from eelgrasswick.emulation import work
 
 
-class Sight(typing.NamedTuple):
+class Candidate(typing.NamedTuple):
     """What a home knows of a target besides what it placed there itself.
 
     Attributes:
@@ -60,7 +60,7 @@
         self._shift = shift.ShiftBudget()
         self._policy = policy
 
-    def choose(self, now_ms: int, sights: typing.Sequence[Sight]) -> Choice:
+    def choose(self, now_ms: int, sights: typing.Sequence[Candidate]) -> Choice:
         """Choose among targets, the default of the flow in front.
 
         Args:
@@ -110,7 +110,7 @@
             self._concurrency.aged(now_ms, name)
             self.strength.ended(now_ms, name, work.YOUNG_MS, False)
 
-    def _load(self, now_ms: int, item: Sight) -> placement.TargetLoad:
+    def _load(self, now_ms: int, item: Candidate) -> placement.TargetLoad:
         name = item.target.name
         factor = 1.0
         room = True
--- a/eelgrasswick/decisions/selector.py
+++ b/eelgrasswick/decisions/selector.py
@@ -97,12 +97,12 @@
         ]
         return near or ranked
 
-    def _sight(self, item: target.Target, good: bool) -> choice.Sight:
+    def _sight(self, item: target.Target, good: bool) -> choice.Candidate:
         here = self._tables.flows.open_by_target[item.name]
         everywhere = here + self._tables.loads.elsewhere(item.name)
         free = everywhere < item.connections
         recent = self._tables.loads.recent_elsewhere(item.name)
-        return choice.Sight(item, everywhere, recent, good and free)
+        return choice.Candidate(item, everywhere, recent, good and free)
 
     def _learn(self, now_ms: int) -> None:
         current = self._tables.epochs.current
--- a/eelgrasswick/decisions/waiting.py
+++ b/eelgrasswick/decisions/waiting.py
@@ -135,7 +135,7 @@
     def promise(self, now_ms: int, caller: bytes) -> int:
         """Set room aside for a caller and return when to come, in ms."""
         step_ms = 1000 / (self._rate(now_ms) * PROMISED)
-        earliest_ms = now_ms + admission.BASE_RETRY_MS
+        earliest_ms = now_ms + admission.MIN_RETRY_MS
         turn_ms = max(self._promised_ms + step_ms, earliest_ms)
         kept = self._promises.get(caller, ())
         # One caller with many flows would get nearly all turns set aside, and
@@ -151,7 +151,7 @@
     def _unpromised(self) -> int:
         self._refused += 1
         part = self._refused * _STRIDE % _PARTS / _PARTS
-        first_ms = 2 * admission.BASE_RETRY_MS
+        first_ms = 2 * admission.MIN_RETRY_MS
         return first_ms + int(part * (LAST_RETRY_MS - first_ms))
 
     def _keeps_promise(self, now_ms: int, caller: bytes) -> bool:
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -221,7 +221,7 @@
             return admission.Refusal(errors.ErrorKind.SERVICE_ENDED, _DAY_MS)
         flows = self._tables.flows
         caller = flow.Caller(owner.name, key.caller_ip)
-        demand = admission.Demand(
+        demand = admission.LimitUsage(
             owner.limit,
             self._share(),
             flows.open_by_service[owner.name],
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -76,7 +76,7 @@
         offer(queue, 0, number, bytes((number,)))
     times = [queue.promise(0, b"caller%d" % number) for number in range(50)]
     assert len(set(times)) == 50
-    assert min(times) >= admission.BASE_RETRY_MS
+    assert min(times) >= admission.MIN_RETRY_MS
     queue.expire(WAIT_MS)
     now_ms = times[0]
     for number in range(20):
@@ -99,7 +99,7 @@
     queue = busy_queue(per_s=10)
     for _ in range(1000):
         queue.promise(0, b"loop")
-    assert queue.promise(0, b"once") < 2 * admission.BASE_RETRY_MS
+    assert queue.promise(0, b"once") < 2 * admission.MIN_RETRY_MS
 
 
 def test_zero_wait_refuses_at_once() -> None:
