--- a/eelgrasswick/decisions/load.py
+++ b/eelgrasswick/decisions/load.py
@@ -44,7 +44,7 @@
         self._flows: collections.Counter[str] = collections.Counter()
         self._recent_tenths: collections.Counter[str] = collections.Counter()
 
-    def take(self, now_ms: int, sender: str, report: wire.LoadReport) -> None:
+    def record(self, now_ms: int, sender: str, report: wire.LoadReport) -> None:
         """Take a home's report in place of its last one."""
         before = self._reports.get(sender)
         if before is not None:
@@ -71,7 +71,7 @@
         """Return the open flows of a target at all other homes."""
         return self._flows[name]
 
-    def heard_from(self, names: typing.Iterable[str]) -> bool:
+    def has_reports_from(self, names: typing.Iterable[str]) -> bool:
         """Tell whether there is a recent report of each of these homes."""
         return all(name in self._reports for name in names)
 
--- a/eelgrasswick/emulation/experiment.py
+++ b/eelgrasswick/emulation/experiment.py
@@ -188,7 +188,7 @@
     def _reported(
         self, receiver: node.Node, sender: str, report: wire.LoadReport
     ) -> None:
-        receiver.tables.loads.take(self.clock_ms, sender, report)
+        receiver.tables.loads.record(self.clock_ms, sender, report)
 
     def _advance(self, item: node.Node) -> None:
         if not item.alive:
--- a/eelgrasswick/homes/emptiness.py
+++ b/eelgrasswick/homes/emptiness.py
@@ -57,7 +57,7 @@
                 self._leaving.pop(item.name, None)
             else:
                 self._look(now_ms, item, current.config.sequence)
-        if watching and self._tables.loads.heard_from(others):
+        if watching and self._tables.loads.has_reports_from(others):
             self._note(now_ms, me, current.zones, len(others) + 1)
 
     def _look(self, now_ms: int, item: target.Target, sequence: int) -> None:
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -218,7 +218,7 @@
                 if not self._outdated(now_ms):
                     self._handover(now_ms, item)
             case wire.LoadReport():
-                self.tables.loads.take(now_ms, sender, item)
+                self.tables.loads.record(now_ms, sender, item)
             case wire.ConfigOffer():
                 self.keeper.offer(now_ms, item.value, sender)
             case wire.ConfigWant():
--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -306,7 +306,7 @@
     book = load.LoadTracker()
     encode_us = _us(lambda: wire.encode(report))
     decode_us = _us(lambda: wire.decode(payload))
-    take_us = _us(lambda: book.take(0, "vm1", report))
+    take_us = _us(lambda: book.record(0, "vm1", report))
     return [
         Unit("report_bytes_per_target", len(payload) / count),
         Unit("report_encode_us_per_target", encode_us / count),
