--- a/eelgrasswick/decisions/ramp.py
+++ b/eelgrasswick/decisions/ramp.py
@@ -11,8 +11,8 @@
 
 import typing
 
-START: typing.Final = 0.3
-RAMP_MS: typing.Final = 10_000
+START_FACTOR: typing.Final = 0.3
+RAMP_DURATION_MS: typing.Final = 10_000
 
 
 class RampTracker:
@@ -23,7 +23,7 @@
         self._since_ms: dict[str, int] = {}
         self._known: set[str] = set()
 
-    def present(self, now_ms: int, names: typing.Collection[str]) -> None:
+    def update_targets(self, now_ms: int, names: typing.Collection[str]) -> None:
         """Take the targets that accept flows; the new ones begin a ramp.
 
         When no target was known before, this VM is the one that is new, and
@@ -45,8 +45,8 @@
         since_ms = self._since_ms.get(name)
         if since_ms is None:
             return 1.0
-        age = (now_ms - since_ms) / RAMP_MS
+        age = (now_ms - since_ms) / RAMP_DURATION_MS
         if age >= 1.0:
             del self._since_ms[name]
             return 1.0
-        return START + (1 - START) * max(0.0, age)
+        return START_FACTOR + (1 - START_FACTOR) * max(0.0, age)
--- a/eelgrasswick/decisions/selector.py
+++ b/eelgrasswick/decisions/selector.py
@@ -112,4 +112,4 @@
             self.chooser.strength.tick(now_ms, owner.targets)
         targets = current.config.targets
         names = [name for name, item in targets.items() if item.accepts]
-        self.chooser.ramp.present(now_ms, names)
+        self.chooser.ramp.update_targets(now_ms, names)
--- a/eelgrasswick/emulation/model.py
+++ b/eelgrasswick/emulation/model.py
@@ -162,5 +162,5 @@
 
     def _work_ms(self, now_ms: float, attempt: Attempt) -> float:
         cold = now_ms - self.started_ms < self.model.cold_ms
-        speed = self.model.speed * (ramp.START if cold else 1.0)
+        speed = self.model.speed * (ramp.START_FACTOR if cold else 1.0)
         return attempt.request.work.work_ms / speed
--- a/tests/test_strength.py
+++ b/tests/test_strength.py
@@ -105,12 +105,12 @@
 
 def test_joining_target_is_ramped_but_a_new_vm_ramps_nothing() -> None:
     book = ramp.RampTracker()
-    book.present(0, ["a"])
+    book.update_targets(0, ["a"])
     assert book.factor(0, "a") == 1.0
-    book.present(1000, ["a", "b"])
-    assert book.factor(1000, "b") == ramp.START
-    assert book.factor(1000 + ramp.RAMP_MS // 2, "b") < 1.0
-    assert book.factor(1000 + ramp.RAMP_MS, "b") == 1.0
+    book.update_targets(1000, ["a", "b"])
+    assert book.factor(1000, "b") == ramp.START_FACTOR
+    assert book.factor(1000 + ramp.RAMP_DURATION_MS // 2, "b") < 1.0
+    assert book.factor(1000 + ramp.RAMP_DURATION_MS, "b") == 1.0
 
 
 def test_moves_are_tied_to_new_flows() -> None:
