--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -200,7 +200,7 @@
         # What a refusal is decided by; a flow that was let in meanwhile has it, too.
         return {
             "of_objective": f"{refusals.ratio(pool):.2f}",
-            "refused_part": f"{refusals.refused(pool):.2f}",
+            "refused_part": f"{refusals.refused_levels(pool):.2f}",
         }
 
     def tell_overloads(self) -> None:
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -65,9 +65,9 @@
         self.speeds = speed.AnswerTimes()
         self.response_times = response_time.ResponseTimes()
         self.ejections = ejection.OutlierEjection()
-        self.refusals = overload.Refusals(refuse)
-        self.levels = overload.Levels()
-        self._sizes = overload.Sizes()
+        self.refusals = overload.LoadShedder(refuse)
+        self.levels = overload.PriorityLevels()
+        self._sizes = overload.ResponseSizes()
         self._woke_ms = 0
         self._paused_ms = 0
         self._kept_ms = 0
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -224,7 +224,7 @@
         if not seen.refusals.limiting(pool):
             return False
         rank = seen.levels.rank(target.service, route.priority)
-        return draws.refuse < seen.refusals.part(now_ms, pool, rank)
+        return draws.refuse < seen.refusals.refused_share(now_ms, pool, rank)
 
     def _passed_on(
         self, outcome: Outcome, target: model.Target, raw: bytes
--- a/eelgrasswick/decisions/overload.py
+++ b/eelgrasswick/decisions/overload.py
@@ -45,7 +45,7 @@
 # Part of the answers that are late, over some twenty of them, from which there is an
 # overload and below which there is none.
 LATE_SMOOTHING: typing.Final = 0.05
-BEGIN_LATE: typing.Final = 0.5
+BEGIN_LATE_SHARE: typing.Final = 0.5
 END_LATE: typing.Final = 0.02
 # Refused part that counts as none.
 END_PART: typing.Final = 0.02
@@ -92,7 +92,7 @@
     levels: int
 
 
-class Sizes:
+class ResponseSizes:
     """How long the answers of each route are, to tell refusals from them.
 
     A VM can't read answers, but sees how much of them callers acknowledge. A target
@@ -122,7 +122,7 @@
             del self._longest[route]
 
 
-class Levels:
+class PriorityLevels:
     """The levels of priority that flows of each service lately had.
 
     What a configuration lists says little: routes that see no traffic would take
@@ -171,7 +171,7 @@
         return self.usual + QUEUE_PART * (1 - self.usual)
 
 
-class Refusals:
+class LoadShedder:
     """The part of new flows that is refused for each pool, as this VM sees it.
 
     The part goes up to the number of levels of priority: the lowest level is refused
@@ -223,7 +223,7 @@
         if state.limiting != limiting:
             self.changed.append(pool)
 
-    def part(self, now_ms: int, pool: Pool, rank: Rank) -> float:
+    def refused_share(self, now_ms: int, pool: Pool, rank: Rank) -> float:
         """Return the part of new flows of a rank to refuse, 0 to 1."""
         state = self._states.get(pool)
         if state is None or not state.limiting:
@@ -237,7 +237,7 @@
         for pool in [item for item in self._states if item not in pools]:
             del self._states[pool]
 
-    def refused(self, pool: Pool) -> float:
+    def refused_levels(self, pool: Pool) -> float:
         """Return the refused part, up to the number of levels of priority."""
         state = self._states.get(pool)
         return 0.0 if state is None else state.part
@@ -258,7 +258,7 @@
         state.usual += USUAL_SMOOTHING * (ratio - state.usual)
     # Where not even the quickest answer is in time, the objective can't be met, and
     # refusing some flows would help no other.
-    if state.late > BEGIN_LATE and state.quickest < 1.0:
+    if state.late > BEGIN_LATE_SHARE and state.quickest < 1.0:
         state.limiting = True
         state.part = FIRST_PART
 
