--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -218,7 +218,7 @@
 
     def tell_ejections(self) -> None:
         """Log which targets were ejected."""
-        fresh = self._observations.ejections.fresh
+        fresh = self._observations.ejections.unlogged
         while fresh:
             item = fresh.pop()
             self._stats.counts["targets_ejected"] += 1
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -233,7 +233,7 @@
         if self._catalog.by_cookie(item.cookie) is None:
             return False
         salt = f"{item.cookie} {self._vm}".encode()
-        return self.ejections.witness(now_ms, item, zlib.crc32(salt) / 2**32)
+        return self.ejections.add_witness(now_ms, item, zlib.crc32(salt) / 2**32)
 
     def _is_sign(self, now_ms: int, target: model.Target) -> bool:
         """Tell whether an overdue request says something of its target.
--- a/eelgrasswick/decisions/ejection.py
+++ b/eelgrasswick/decisions/ejection.py
@@ -19,11 +19,11 @@
 import typing
 
 # Witnesses within this time count together.
-WINDOW_MS: typing.Final = 1500
-WITNESSES: typing.Final = 3
+WITNESS_WINDOW_MS: typing.Final = 1500
+MIN_WITNESSES: typing.Final = 3
 # How long the first ejection lasts, and the longest one. Up to half as long again
 # is added at random.
-EJECT_MS: typing.Final = 2000
+BASE_EJECTION_MS: typing.Final = 2000
 LONGEST_MS: typing.Final = 4000
 JITTER: typing.Final = 0.5
 # For so long after an ejection one witness begins the next.
@@ -77,7 +77,7 @@
 
     def __init__(self) -> None:
         """Begin with no target ejected."""
-        self.fresh: list[Ejection] = []
+        self.unlogged: list[Ejection] = []
         self._records: dict[int, _Record] = {}
 
     @property
@@ -85,7 +85,7 @@
         """False while there is nothing against any target."""
         return bool(self._records)
 
-    def witness(self, now_ms: int, item: Witness, fraction: float) -> bool:
+    def add_witness(self, now_ms: int, item: Witness, fraction: float) -> bool:
         """Take a witness of this or another VM.
 
         Args:
@@ -99,15 +99,15 @@
             has not had all the witnesses that count.
         """
         at_ms = now_ms - item.age_ms
-        if item.age_ms > WINDOW_MS:
+        if item.age_ms > WITNESS_WINDOW_MS:
             return False
         record = self._records.setdefault(item.cookie, _Record())
         recent = {
             vm: seen_ms
             for vm, seen_ms in record.seen_ms.items()
-            if now_ms - seen_ms <= WINDOW_MS
+            if now_ms - seen_ms <= WITNESS_WINDOW_MS
         }
-        new = item.vm not in recent and len(recent) < WITNESSES
+        new = item.vm not in recent and len(recent) < MIN_WITNESSES
         recent[item.vm] = max(at_ms, recent.get(item.vm, at_ms))
         record.seen_ms = recent
         if at_ms >= record.until_ms and len(recent) >= self._needed(at_ms, record):
@@ -145,16 +145,18 @@
 
     def _needed(self, at_ms: int, record: _Record) -> int:
         probation = record.lasts_ms and at_ms - record.until_ms < PROBATION_MS
-        return 1 if probation else WITNESSES
+        return 1 if probation else MIN_WITNESSES
 
     def _eject(
         self, now_ms: int, cookie: int, record: _Record, fraction: float
     ) -> None:
         again = record.lasts_ms and now_ms - record.until_ms < PROBATION_MS
-        record.lasts_ms = min(LONGEST_MS, 2 * record.lasts_ms) if again else EJECT_MS
+        record.lasts_ms = (
+            min(LONGEST_MS, 2 * record.lasts_ms) if again else BASE_EJECTION_MS
+        )
         lasts_ms = int(record.lasts_ms * (1 + JITTER * fraction))
         record.until_ms = now_ms + lasts_ms
-        self.fresh.append(Ejection(cookie, len(record.seen_ms), lasts_ms))
+        self.unlogged.append(Ejection(cookie, len(record.seen_ms), lasts_ms))
 
     def _is_over(self, now_ms: int, record: _Record) -> bool:
         last_ms = max(record.until_ms, max(record.seen_ms.values(), default=0))
