--- a/eelgrasswick/decisions/concurrency.py
+++ b/eelgrasswick/decisions/concurrency.py
@@ -34,7 +34,7 @@
 STEPS: typing.Final = 32
 STEPS_LEAST: typing.Final = 16
 SPREAD: typing.Final = 2
-QUEUE_MS: typing.Final = 100
+MAX_QUEUE_MS: typing.Final = 100
 FIRST: typing.Final = 4.0
 CALM_MS: typing.Final = 3000
 FORGET_PER_S: typing.Final = 0.005
@@ -122,7 +122,7 @@
     # lifetimes differ by is the requests' own.
     enough = len(known.steps_ms) >= STEPS_LEAST
     own_ms = statistics.median(known.steps_ms) if enough else 0.0
-    return known.base_ms + QUEUE_MS + SPREAD * own_ms
+    return known.base_ms + MAX_QUEUE_MS + SPREAD * own_ms
 
 
 def _learn_base(known: _Limit, now_ms: int, shortest: int) -> None:
--- a/eelgrasswick/decisions/health.py
+++ b/eelgrasswick/decisions/health.py
@@ -10,7 +10,7 @@
 import typing
 
 FAILURES: typing.Final = 3
-ANSWER_MS: typing.Final = 400
+ANSWER_TIMEOUT_MS: typing.Final = 400
 RETRY_MS: typing.Final = 2000
 PANIC_SHARE: typing.Final = 0.5
 
--- a/eelgrasswick/decisions/strength.py
+++ b/eelgrasswick/decisions/strength.py
@@ -26,7 +26,7 @@
 SAMPLES: typing.Final = 16
 KEEP_MS: typing.Final = 10_000
 ENOUGH: typing.Final = 8
-LOWEST: typing.Final = 0.2
+MIN_FACTOR: typing.Final = 0.2
 HIGHEST: typing.Final = 1.0
 WAYS: typing.Final = 3
 TOLERANCE: typing.Final = 1.5
@@ -135,8 +135,8 @@
     # exceptions for nothing.
     if 1 / TOLERANCE <= ratio <= TOLERANCE:
         return 1.0
-    return max(LOWEST, min(HIGHEST, ratio))
+    return max(MIN_FACTOR, min(HIGHEST, ratio))
 
 
 def _trust(failing: float) -> float:
-    return max(LOWEST, (1 - failing) ** 2)
+    return max(MIN_FACTOR, (1 - failing) ** 2)
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -75,7 +75,7 @@
         wait until the target is suspected, it could be sent to the same dead
         target each time that the suspicion has just lapsed.
         """
-        if now_ms - record.opened_ms >= 2 * health.ANSWER_MS:
+        if now_ms - record.opened_ms >= 2 * health.ANSWER_TIMEOUT_MS:
             return True
         return self._tables.health.suspected(now_ms, record.target.name)
 
@@ -250,7 +250,9 @@
         )
         if opening:
             record.first = item
-            self._opening.append(Waiting(now_ms + health.ANSWER_MS, key, record))
+            self._opening.append(
+                Waiting(now_ms + health.ANSWER_TIMEOUT_MS, key, record)
+            )
         self._tables.flows.add(key, record)
         self._tables.hints.forget(key)
         self._tables.outbox.count(_COUNT.FLOWS_PLACED)
@@ -284,7 +286,7 @@
         self._tables.flows.move(key, record, chosen)
         self.chooser.move(now_ms, key.packed, chosen.name)
         self._tables.outbox.count(_COUNT.FLOWS_MOVED)
-        self._opening.append(Waiting(now_ms + health.ANSWER_MS, key, record))
+        self._opening.append(Waiting(now_ms + health.ANSWER_TIMEOUT_MS, key, record))
         self.replicate(key, owner, chosen)
         return True
 
@@ -360,7 +362,9 @@
             return
         silent = self.silent(now_ms, record)
         if not (silent and self.move(now_ms, key, owner, record)):
-            self._opening.append(Waiting(now_ms + health.ANSWER_MS, key, record))
+            self._opening.append(
+                Waiting(now_ms + health.ANSWER_TIMEOUT_MS, key, record)
+            )
         self._send(record.target, first)
 
     def _send(self, chosen: target.Target, item: packet.Packet) -> None:
--- a/tests/test_strength.py
+++ b/tests/test_strength.py
@@ -48,7 +48,7 @@
 
 def test_target_that_ends_no_flow_counts_as_weak() -> None:
     book = seen({"a": work.YOUNG_MS, "b": 40, "c": 40, "d": 40})
-    assert book.factor("a") == strength.LOWEST
+    assert book.factor("a") == strength.MIN_FACTOR
 
 
 def test_weakness_moves_work_at_a_limited_speed() -> None:
@@ -82,7 +82,7 @@
     # Twice the capacity comes in. Without a limit the queue at the target
     # grows until every answer is late.
     book = fed([40] * 30 + [900] * 10, 40)
-    assert book.limit("a") <= (40 + concurrency.QUEUE_MS) / 40 + 1
+    assert book.limit("a") <= (40 + concurrency.MAX_QUEUE_MS) / 40 + 1
     assert not book.room("a", 10)
 
 
