--- a/eelgrasswick/decisions/choice.py
+++ b/eelgrasswick/decisions/choice.py
@@ -57,7 +57,7 @@
         self.ramp = ramp.RampTracker()
         self.retry = retry.RetryBudget()
         self._concurrency = concurrency.ConcurrencyLimits()
-        self._shift = shift.ShiftBudget()
+        self._shift = shift.ExceptionBudget()
         self._policy = policy
 
     def choose(self, now_ms: int, sights: typing.Sequence[Candidate]) -> Choice:
--- a/eelgrasswick/decisions/retry.py
+++ b/eelgrasswick/decisions/retry.py
@@ -10,8 +10,8 @@
 
 import typing
 
-FLOWS_PER_MOVE: typing.Final = 5
-FLOOR: typing.Final = 20
+NEW_FLOWS_PER_MOVE: typing.Final = 5
+BURST_MOVES: typing.Final = 20
 
 
 class RetryBudget:
@@ -19,15 +19,15 @@
 
     def __init__(self) -> None:
         """Start with ``FLOOR`` moves."""
-        self._earned = FLOOR * FLOWS_PER_MOVE
+        self._earned = BURST_MOVES * NEW_FLOWS_PER_MOVE
 
     def earn(self) -> None:
         """Note a new flow."""
-        self._earned = min(FLOOR * FLOWS_PER_MOVE, self._earned + 1)
+        self._earned = min(BURST_MOVES * NEW_FLOWS_PER_MOVE, self._earned + 1)
 
     def spend(self) -> bool:
         """Take a move; False when none is left."""
-        if self._earned < FLOWS_PER_MOVE:
+        if self._earned < NEW_FLOWS_PER_MOVE:
             return False
-        self._earned -= FLOWS_PER_MOVE
+        self._earned -= NEW_FLOWS_PER_MOVE
         return True
--- a/eelgrasswick/decisions/shift.py
+++ b/eelgrasswick/decisions/shift.py
@@ -16,12 +16,12 @@
 
 EXCEPTIONS_PER_S: typing.Final = 28.0
 BURST_S: typing.Final = 10.0
-TIGHT: typing.Final = 1.05
-LOOSE: typing.Final = 1.25
+MIN_LOAD_FACTOR: typing.Final = 1.05
+MAX_LOAD_FACTOR: typing.Final = 1.25
 STEP_PER_S: typing.Final = 0.5
 
 
-class ShiftBudget:
+class ExceptionBudget:
     """A budget of exceptions that refills, and the bound it leaves."""
 
     def __init__(self, per_s: float = EXCEPTIONS_PER_S) -> None:
@@ -40,7 +40,9 @@
         self._refill(now_ms)
         if self._left < 1:
             return math.inf
-        return TIGHT + (LOOSE - TIGHT) * (1 - self._left / self._full)
+        return MIN_LOAD_FACTOR + (MAX_LOAD_FACTOR - MIN_LOAD_FACTOR) * (
+            1 - self._left / self._full
+        )
 
     def spend(self, now_ms: int) -> None:
         """Note an exception."""
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -30,7 +30,7 @@
 
 def test_flow_stays_on_its_default_while_work_is_even() -> None:
     ranked = [load("a", 10), load("b", 10), load("c", 10)]
-    chosen = placement.BoundedHash().choose(ranked, shift.TIGHT)
+    chosen = placement.BoundedHash().choose(ranked, shift.MIN_LOAD_FACTOR)
     assert chosen is not None and chosen.name == "a"
 
 
@@ -38,14 +38,14 @@
     # Few flows are open at any moment, and chance has given one target a third
     # more than its share. Its callers would wait while others idle.
     ranked = [load("a", 14), load("b", 11), load("c", 6)]
-    chosen = placement.BoundedHash().choose(ranked, shift.TIGHT)
+    chosen = placement.BoundedHash().choose(ranked, shift.MIN_LOAD_FACTOR)
     assert chosen is not None and chosen.name == "c"
 
 
 def test_no_budget_means_no_exception() -> None:
     # With the budget used up, exceptions would crowd out other control traffic.
     ranked = [load("a", 100), load("b", 0)]
-    budget = shift.ShiftBudget(per_s=1)
+    budget = shift.ExceptionBudget(per_s=1)
     for _ in range(20):
         budget.spend(0)
     chosen = placement.BoundedHash().choose(ranked, budget.factor(0))
@@ -53,15 +53,15 @@
 
 
 def test_budget_refills() -> None:
-    budget = shift.ShiftBudget(per_s=1)
+    budget = shift.ExceptionBudget(per_s=1)
     for _ in range(20):
         budget.spend(0)
-    assert budget.factor(60_000) == shift.TIGHT
+    assert budget.factor(60_000) == shift.MIN_LOAD_FACTOR
 
 
 def test_unusable_target_gets_nothing() -> None:
     ranked = [load("a", usable=False), load("b", 50)]
-    chosen = placement.BoundedHash().choose(ranked, shift.TIGHT)
+    chosen = placement.BoundedHash().choose(ranked, shift.MIN_LOAD_FACTOR)
     assert chosen is not None and chosen.name == "b"
     assert placement.BoundedHash().choose([load("a", usable=False)], 1.0) is None
 
@@ -79,11 +79,11 @@
     for _ in range(20 * sum(weights)):
         ranked = [load(str(i), counts[str(i)], w) for i, w in enumerate(weights)]
         order.shuffle(ranked)  # type: ignore[attr-defined]
-        chosen = policy.choose(ranked, shift.TIGHT)
+        chosen = policy.choose(ranked, shift.MIN_LOAD_FACTOR)
         assert chosen is not None
         counts[chosen.name] += 1
     for index, weight in enumerate(weights):
-        assert counts[str(index)] <= 20 * weight * shift.TIGHT + 1
+        assert counts[str(index)] <= 20 * weight * shift.MIN_LOAD_FACTOR + 1
 
 
 def test_recent_work_fades_and_young_flows_grow_old() -> None:
--- a/tests/test_strength.py
+++ b/tests/test_strength.py
@@ -117,10 +117,10 @@
     # A zone goes and every flow is unanswered. Moved without end, each would
     # cost the remaining targets several opening packets.
     budget = retry.RetryBudget()
-    assert sum(budget.spend() for _ in range(1000)) == retry.FLOOR
+    assert sum(budget.spend() for _ in range(1000)) == retry.BURST_MOVES
     for _ in range(100):
         budget.earn()
-    assert sum(budget.spend() for _ in range(1000)) == 100 / retry.FLOWS_PER_MOVE
+    assert sum(budget.spend() for _ in range(1000)) == 100 / retry.NEW_FLOWS_PER_MOVE
 
 
 def test_not_all_targets_go_at_once() -> None:
