--- a/eelgrasswick/decisions/waiting.py
+++ b/eelgrasswick/decisions/waiting.py
@@ -51,7 +51,7 @@
     item: Item
 
 
-class Queue(typing.Generic[Item]):
+class WaitQueue(typing.Generic[Item]):
     """The waiting flows of one service at one home."""
 
     def __init__(self, wait_ms: int) -> None:
@@ -92,7 +92,7 @@
             self._first.append(waiter)
         elif self._full(now_ms, caller):
             return admission.Refusal(
-                errors.ErrorKind.WAIT_FULL, self.promise(now_ms, caller)
+                errors.ErrorKind.WAIT_FULL, self.reserve(now_ms, caller)
             )
         else:
             self._turns.setdefault(caller, collections.deque()).append(waiter)
@@ -132,7 +132,7 @@
         self._placed = self._faded(now_ms) + 1
         self._placed_ms = now_ms
 
-    def promise(self, now_ms: int, caller: bytes) -> int:
+    def reserve(self, now_ms: int, caller: bytes) -> int:
         """Set room aside for a caller and return when to come, in ms."""
         step_ms = 1000 / (self._rate(now_ms) * PROMISED)
         earliest_ms = now_ms + admission.MIN_RETRY_MS
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -127,7 +127,7 @@
         item, key = late.item
         if not self._pending.mine(key, owner):
             return
-        retry_ms = queue.promise(now_ms, key.caller_ip)
+        retry_ms = queue.reserve(now_ms, key.caller_ip)
         refusal = admission.Refusal(errors.ErrorKind.WAIT_EXPIRED, retry_ms)
         self.refuse(item, key, refusal)
 
--- a/eelgrasswick/homes/pending.py
+++ b/eelgrasswick/homes/pending.py
@@ -25,7 +25,7 @@
     flow: packet.FlowKey
 
 
-Queue = waiting.Queue[Held]
+Queue = waiting.WaitQueue[Held]
 
 
 class Pending:
@@ -39,7 +39,7 @@
 
     def queue(self, owner: service.Service) -> Queue:
         """Return the queue of a service."""
-        known = self._queues.setdefault(owner.name, waiting.Queue(owner.wait_ms))
+        known = self._queues.setdefault(owner.name, waiting.WaitQueue(owner.wait_ms))
         known.wait_ms = owner.wait_ms
         return known
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -14,7 +14,7 @@
 
 def busy_queue(per_s: int = 100, now_ms: int = 0) -> "waiting.Queue[int]":
     """Return a queue whose service has placed flows at a steady rate."""
-    queue: waiting.Queue[int] = waiting.Queue(WAIT_MS)
+    queue: waiting.WaitQueue[int] = waiting.WaitQueue(WAIT_MS)
     for index in range(10 * per_s):
         queue.note_placed(now_ms - 10_000 + index * 1000 // per_s)
     return queue
@@ -103,7 +103,7 @@
 
 
 def test_zero_wait_refuses_at_once() -> None:
-    queue: waiting.Queue[int] = waiting.Queue(0)
+    queue: waiting.WaitQueue[int] = waiting.WaitQueue(0)
     assert offer(queue, 0, 1, b"a") is not None
 
 
@@ -120,7 +120,7 @@
 def test_no_flow_is_both_placed_and_refused(
     steps: list[tuple[str, int, int]],
 ) -> None:
-    queue: waiting.Queue[int] = waiting.Queue(WAIT_MS)
+    queue: waiting.WaitQueue[int] = waiting.WaitQueue(WAIT_MS)
     now_ms = 0
     waits: set[int] = set()
     for what, number, after_ms in steps:
