--- a/eelgrasswick/cookie/cold_targets.py
+++ b/eelgrasswick/cookie/cold_targets.py
@@ -144,7 +144,7 @@
             return Eligible(found, len(found) < len(targets))
         own = [t for t in targets if self.limits.share(now_ms, t.cookie, per_s)]
         free = [t for t in own if self.limits.allows(now_ms, t.cookie, per_s)]
-        if cold_start.reserved(len(free), len(own), urgent):
+        if cold_start.reserved_for_urgent(len(free), len(own), urgent):
             free = []
         return Eligible(free, True)
 
--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -209,7 +209,7 @@
         now_ms = clock.now_ms()
         self._observations.tick(now_ms)
         vms = self._gossip.peers
-        self._observations.cold.limits.follow(now_ms, vms.hosts(), len(vms))
+        self._observations.cold.limits.update_fleet(now_ms, vms.hosts(), len(vms))
         self._carrier.tell_overloads()
         self._catalog.tick(now_ms, self._knowledge.confirmed_ms)
         self._gossip.ask(now_ms, self._observations.report(), self._store_watch.answers)
--- a/eelgrasswick/decisions/cold_start.py
+++ b/eelgrasswick/decisions/cold_start.py
@@ -73,7 +73,7 @@
         self._choices: dict[int, _Choice] = {}
         self._opened_ms: dict[int, collections.deque[int]] = {}
 
-    def follow(self, now_ms: int, others: tuple[str, ...], alive: int) -> None:
+    def update_fleet(self, now_ms: int, others: tuple[str, ...], alive: int) -> None:
         """Take the view of the fleet.
 
         Args:
@@ -131,7 +131,7 @@
         return choice.rank
 
 
-def reserved(free: int, all_: int, urgent: bool) -> bool:
+def reserved_for_urgent(free: int, all_: int, urgent: bool) -> bool:
     """Tell whether what is left is kept for more urgent flows.
 
     Args:
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -212,7 +212,7 @@
         names = [f"vm{number}" for number in range(len(self.vms))]
         for number, vm in enumerate(self.vms):
             others = (*names[:number], *names[number + 1 :])
-            vm.seen.cold.limits.follow(self._due.now_ms, others, len(others))
+            vm.seen.cold.limits.update_fleet(self._due.now_ms, others, len(others))
             vm.seen.tick(self._due.now_ms)
         self._due.later(TICK_MS, self._tick)
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -24,7 +24,9 @@
     names = [f"10.0.0.{number}" for number in range(count)]
     made = [cold_start.ColdStart(name) for name in names]
     for name, item in zip(names, made, strict=True):
-        item.follow(0, tuple(other for other in names if other != name), count - 1)
+        item.update_fleet(
+            0, tuple(other for other in names if other != name), count - 1
+        )
     return made
 
 
@@ -63,7 +65,7 @@
     # Half of the VMs have forgotten some, which go on and hold their old view.
     for number in range(lost, 67, 2):
         kept = tuple(name for name in names[lost:] if name != names[number])
-        vms[number].follow(SETTLED_MS, kept, len(kept))
+        vms[number].update_fleet(SETTLED_MS, kept, len(kept))
     for cookie in range(50):
         flows = sum(item.share(SETTLED_MS, cookie, 0.0) for item in vms)
         assert flows <= 5
@@ -72,7 +74,7 @@
 def test_vm_that_hears_nobody_opens_none() -> None:
     """Guards against each VM behind a cut taking the whole limit for its own."""
     (vm, *_) = _vms(10)
-    vm.follow(SETTLED_MS, ("10.0.0.1", "10.0.0.2"), 0)
+    vm.update_fleet(SETTLED_MS, ("10.0.0.1", "10.0.0.2"), 0)
     assert not any(vm.share(SETTLED_MS, cookie, 0.0) for cookie in range(50))
 
 
@@ -85,9 +87,9 @@
 
 def test_last_room_is_kept_for_urgent_flows() -> None:
     """Guards against urgent flows that are refused as others came first."""
-    assert cold_start.reserved(1, 4, urgent=False)
-    assert not cold_start.reserved(1, 4, urgent=True)
-    assert not cold_start.reserved(3, 4, urgent=False)
+    assert cold_start.reserved_for_urgent(1, 4, urgent=False)
+    assert not cold_start.reserved_for_urgent(1, 4, urgent=True)
+    assert not cold_start.reserved_for_urgent(3, 4, urgent=False)
 
 
 def _config(revision: int, cold_per_s: float = 0.0) -> source.Row:
@@ -250,7 +252,7 @@
 ) -> None:
     """Guards against callers that wait for targets which may not be used yet."""
     _settle(known)
-    seen.cold.limits.follow(0, (), 0)
+    seen.cold.limits.update_fleet(0, (), 0)
     rows = [cookie_parts.target_row(f"i-0{n}", 9, born=5000) for n in "abc"]
     _update(known, SETTLED_MS, *rows)
     outcomes = []
