--- a/eelgrasswick/platform/__main__.py
+++ b/eelgrasswick/platform/__main__.py
@@ -50,7 +50,7 @@
         for host in file.settings.fleet.seeds
         if host != vm.peer.host
     ]
-    starting = early.Early(carrier, waiting, bound_ms, seeds)
+    starting = early.StartupForwarder(carrier, waiting, bound_ms, seeds)
     starting.run(file.settings.store.address)
     program: typing.Any = importlib.import_module("eelgrasswick.platform.program")
     program.run(file, carrier, waiting, bound_ms, starting.members)
--- a/eelgrasswick/platform/answers.py
+++ b/eelgrasswick/platform/answers.py
@@ -14,11 +14,11 @@
 MAX_BODY_BYTES: typing.Final = 16_000_000
 _OK: typing.Final = 200
 _GONE: typing.Final = 410
-FAULTS: typing.Final = (ValueError, TypeError, LookupError)
+DECODE_ERRORS: typing.Final = (ValueError, TypeError, LookupError)
 Body = dict[str, typing.Any]
 
 
-class Answer(typing.NamedTuple):
+class HttpResponse(typing.NamedTuple):
     """An HTTP answer: its status and body."""
 
     status: int
@@ -50,7 +50,7 @@
             # again from its revision.
             self._revision = self._revision or number(body["store_revision"])
             more = bool(body["has_more"])
-        except FAULTS as fault:
+        except DECODE_ERRORS as fault:
             raise errors.StoreError(f"{names.RANGE_PATH}: {fault!r}") from fault
         self._rows += page
         last = {"prefix": "", "after": page[-1].key} if page else None
@@ -72,7 +72,7 @@
     return (http.send(head) or b"") + (http.send(h11.EndOfMessage()) or b"")
 
 
-def read(name: str, answer: Answer) -> Body:
+def read(name: str, answer: HttpResponse) -> Body:
     """Return the body of an answer.
 
     Raises:
--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -62,14 +62,14 @@
     "cbor2",
 )
 # A listing that comes on may take so many times as long.
-MOST_STALLS: typing.Final = 4
+MAX_STALLS: typing.Final = 4
 # Packets between two imports at most, or a flood of them would put off the start.
-MAX_TAKEN: typing.Final = 500
+MAX_PACKETS_PER_IMPORT: typing.Final = 500
 _CHUNK_BYTES: typing.Final = 65_536
 _ORIGIN: typing.Final = "store"
 
 
-class Early:
+class StartupForwarder:
     """Carries packets by a bound socket until the reactor can."""
 
     def __init__(
@@ -89,7 +89,7 @@
         """
         self.members: tuple[peers.Member, ...] = ()
         self._seeds = seeds
-        self._reading: listing.Reading | None = None
+        self._reading: listing.ListingReader | None = None
         self._carrier = carrier
         self._socket = waiting
         self._bound_ms = bound_ms
@@ -97,7 +97,7 @@
     def run(self, store: model.Address) -> None:
         """Learn all rows, import the libraries, and carry packets meanwhile."""
         if not self._learn_from_peer():
-            self._reading = listing.Reading(store)
+            self._reading = listing.ListingReader(store)
             self._read(IDLE_S, FIRST_S)
         self._take_all()
         for name in LIBRARIES:
@@ -105,7 +105,7 @@
             self._read(0.0, 0.0)
             self._take_all()
         if not self._carrier.began:
-            self._read(STALL_S, STALL_S * MOST_STALLS)
+            self._read(STALL_S, STALL_S * MAX_STALLS)
             self._take_all()
         if self._reading is not None:
             self._give_up("no answer in time")
@@ -174,7 +174,7 @@
         if not self._carrier.began:
             self._carrier.send = self._send
             self._carrier.begin(clock.now_ms() - self._bound_ms)
-        for _ in range(MAX_TAKEN):
+        for _ in range(MAX_PACKETS_PER_IMPORT):
             try:
                 raw, address = self._socket.recvfrom(_CHUNK_BYTES)
             except BlockingIOError:
--- a/eelgrasswick/platform/listing.py
+++ b/eelgrasswick/platform/listing.py
@@ -19,7 +19,7 @@
 _CHUNK_BYTES: typing.Final = 65_536
 
 
-class Reading:
+class ListingReader:
     """A listing that is under way.
 
     Attributes:
@@ -108,7 +108,7 @@
     def _page(self) -> None:
         body = b"".join(self._parts)
         self._parts = []
-        answer = answers.Answer(self._status, body)
+        answer = answers.HttpResponse(self._status, body)
         self._listing.add(answers.read(names.RANGE_PATH, answer))
         if self._listing.query is None:
             return
--- a/eelgrasswick/platform/program.py
+++ b/eelgrasswick/platform/program.py
@@ -13,7 +13,7 @@
 from eelgrasswick.platform import names, settings_file, store
 
 # How often the settings file is looked at; it may change without a signal.
-LOOK_S: typing.Final = 1.0
+SETTINGS_POLL_S: typing.Final = 1.0
 
 
 def _reload(file: settings_file.SettingsFile, vm: entry.EntryVm) -> None:
@@ -64,5 +64,5 @@
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(_reload, file, vm))
     reactor.callWhenRunning(vm.start)
     looking = task.LoopingCall(_look, file, vm)
-    reactor.callWhenRunning(looking.start, LOOK_S, now=False)
+    reactor.callWhenRunning(looking.start, SETTINGS_POLL_S, now=False)
     reactor.run(installSignalHandlers=False)
--- a/eelgrasswick/platform/store.py
+++ b/eelgrasswick/platform/store.py
@@ -10,8 +10,8 @@
 from eelgrasswick.platform import answers, names
 
 # The store answers in about 4 ms, and in 0.25 s when it is slow (60 times).
-ANSWER_MS: typing.Final = 700
-CONNECT_MS: typing.Final = 500
+ANSWER_TIMEOUT_MS: typing.Final = 700
+CONNECT_TIMEOUT_MS: typing.Final = 500
 
 
 class _Connection(protocol.Protocol):
@@ -20,7 +20,7 @@
     def __init__(self, host: str) -> None:
         self._host = host
         self._http = h11.Connection(h11.CLIENT, answers.MAX_BODY_BYTES)
-        self._waiting: defer.Deferred[answers.Answer] | None = None
+        self._waiting: defer.Deferred[answers.HttpResponse] | None = None
         self._status = 0
         self._parts: list[bytes] = []
         self.open = True
@@ -72,7 +72,7 @@
         else:
             self._http.start_next_cycle()
         if waiting is not None:
-            waiting.callback(answers.Answer(self._status, b"".join(self._parts)))
+            waiting.callback(answers.HttpResponse(self._status, b"".join(self._parts)))
 
     def _fail(self, fault: BaseException) -> None:
         waiting, self._waiting = self._waiting, None
@@ -103,17 +103,19 @@
         """Return all rows; see the base class."""
         listing = answers.Listing()
         while listing.query is not None:
-            listing.add(await self._call(names.RANGE_PATH, listing.query, ANSWER_MS))
+            listing.add(
+                await self._call(names.RANGE_PATH, listing.query, ANSWER_TIMEOUT_MS)
+            )
         return listing.changes()
 
     async def changes(self, after: int, wait_ms: int) -> source.Changes:
         """Return what changed after a revision; see the base class."""
         query = {"prefix": "", "after": str(after), "wait_ms": str(wait_ms)}
-        body = await self._call(names.WATCH_PATH, query, wait_ms + ANSWER_MS)
+        body = await self._call(names.WATCH_PATH, query, wait_ms + ANSWER_TIMEOUT_MS)
         try:
             rows = tuple(answers.row(item) for item in body["events"])
             revision = answers.number(body["store_revision"])
-        except answers.FAULTS as fault:
+        except answers.DECODE_ERRORS as fault:
             raise errors.StoreError(f"{names.WATCH_PATH}: {fault!r}") from fault
         return source.Changes(rows, revision, after)
 
@@ -136,7 +138,7 @@
             return known
         host, port = self._address
         end = endpoints.TCP4ClientEndpoint(
-            self._reactor, host, port, timeout=CONNECT_MS / 1000
+            self._reactor, host, port, timeout=CONNECT_TIMEOUT_MS / 1000
         )
         made = _Connection(f"{host}:{port}")
         try:
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -159,7 +159,7 @@
     monkeypatch.setattr(importlib, "import_module", import_module)
     monkeypatch.setattr(early, "LIBRARIES", ("one", "two"))
     carrier = _carrier(log[1])
-    early.Early(carrier, bound, clock.now_ms()).run(pages.address)
+    early.StartupForwarder(carrier, bound, clock.now_ms()).run(pages.address)
     pages.end()
     assert took == [40_001, 40_002]
     assert carrier.parts.knowledge.revision == 7
@@ -177,7 +177,7 @@
     with socket.create_server((HOST, 0)) as silent:
         carrier = _carrier(log[1])
         address = model.Address(HOST, silent.getsockname()[1])
-        early.Early(carrier, bound, clock.now_ms()).run(address)
+        early.StartupForwarder(carrier, bound, clock.now_ms()).run(address)
     assert not carrier.began
     carrier.parts.log.flush()
     assert b"early_read_failed" in os.read(log[0], 65536)
@@ -252,7 +252,7 @@
     monkeypatch.setattr(early, "LIBRARIES", ())
     store = Trickle(0.04, *ROWS)
     carrier = _carrier(log[1])
-    early.Early(carrier, bound, clock.now_ms()).run(store.address)
+    early.StartupForwarder(carrier, bound, clock.now_ms()).run(store.address)
     store.end()
     assert carrier.parts.knowledge.revision == 7
     assert carrier.began
@@ -267,7 +267,7 @@
     head = b"HTTP/1.1 200 OK\r\n"
     store = Scripted(raw.replace(head, head + b"Connection: close\r\n"))
     carrier = _carrier(log[1])
-    early.Early(carrier, bound, clock.now_ms()).run(store.address)
+    early.StartupForwarder(carrier, bound, clock.now_ms()).run(store.address)
     store.end()
     assert carrier.parts.knowledge.revision == 7
 
@@ -286,7 +286,7 @@
     monkeypatch.setattr(importlib, "import_module", import_module)
     monkeypatch.setattr(early, "LIBRARIES", ("one",) * 8)
     store = Trickle(0.06, *ROWS)
-    early.Early(carrier, bound, clock.now_ms()).run(store.address)
+    early.StartupForwarder(carrier, bound, clock.now_ms()).run(store.address)
     store.end()
     assert not imported[0]
     assert imported[-1]
@@ -299,7 +299,7 @@
     monkeypatch.setattr(early, "LIBRARIES", ())
     peer = Peer(*_offer(300, *ROWS))
     carrier = _carrier(log[1])
-    starting = early.Early(carrier, bound, clock.now_ms(), [peer.address])
+    starting = early.StartupForwarder(carrier, bound, clock.now_ms(), [peer.address])
     starting.run(_unused())
     peer.end()
     known = carrier.parts.knowledge
@@ -317,7 +317,9 @@
     monkeypatch.setattr(early, "LIBRARIES", ())
     peer = Peer(*_offer(9000, *ROWS))
     carrier = _carrier(log[1])
-    early.Early(carrier, bound, clock.now_ms(), [peer.address]).run(_unused())
+    early.StartupForwarder(carrier, bound, clock.now_ms(), [peer.address]).run(
+        _unused()
+    )
     peer.end()
     assert carrier.began
     assert 9000 <= carrier.parts.knowledge.age_ms(clock.now_ms()) < 9400
@@ -336,7 +338,7 @@
         dark = [held.enter_context(_full_queue()) for _ in range(3)]
         pages = Pages(*ROWS)
         carrier = _carrier(log[1])
-        early.Early(carrier, bound, clock.now_ms(), dark).run(pages.address)
+        early.StartupForwarder(carrier, bound, clock.now_ms(), dark).run(pages.address)
         pages.end()
     assert carrier.began
     # All are given up together; one after the other only some would be tried.
@@ -370,7 +372,9 @@
     monkeypatch.setattr(early, "LIBRARIES", ())
     peer, pages = Peer(*strings), Pages(*ROWS)
     carrier = _carrier(log[1])
-    starting = early.Early(carrier, bound, clock.now_ms(), [_unused(), peer.address])
+    starting = early.StartupForwarder(
+        carrier, bound, clock.now_ms(), [_unused(), peer.address]
+    )
     starting.run(pages.address)
     peer.end()
     pages.end()
