--- a/eelgrasswick/commands/command_operator.py
+++ b/eelgrasswick/commands/command_operator.py
@@ -44,7 +44,7 @@
             print(f"{self.file}: {item}", file=sys.stderr)
         if faults:
             raise cappa.Exit(
-                code=errors.ANSWERS[errors.ErrorKind.RULES_INVALID].exit_code
+                code=errors.ERROR_HANDLING[errors.ErrorKind.RULES_INVALID].exit_code
             )
         if not self.as_json:
             print(f"{self.file}: no faults")
--- a/eelgrasswick/commands/console.py
+++ b/eelgrasswick/commands/console.py
@@ -60,14 +60,14 @@
     if not isinstance(error, errors.EelgrasswickError):
         raise error
     print_error(error)
-    raise cappa.Exit(code=error.answer.exit_code)
+    raise cappa.Exit(code=error.handling.exit_code)
 
 
 def print_error(error: errors.EelgrasswickError) -> None:
     """Print what went wrong, a line per fault, then what to do about it."""
     for line in error.detail.splitlines():
         print(f"{error.kind.value}: {line}", file=sys.stderr)
-    print(f"{error.kind.value}: {error.answer.remedy}", file=sys.stderr, flush=True)
+    print(f"{error.kind.value}: {error.handling.remedy}", file=sys.stderr, flush=True)
 
 
 def text(path: pathlib.Path) -> str:
--- a/eelgrasswick/cookie/event_log.py
+++ b/eelgrasswick/cookie/event_log.py
@@ -34,7 +34,7 @@
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._vm = vm
-        self._bound = log_line.Bound(per_s)
+        self._bound = log_line.LineRateLimiter(per_s)
         self._stats = counted
         self._now_ms = now_ms
         self._pending = bytearray()
--- a/eelgrasswick/daemons/log.py
+++ b/eelgrasswick/daemons/log.py
@@ -65,7 +65,7 @@
     def __init__(self, vm: str, per_s: int) -> None:
         """Name the VM in every line; write ``per_s`` lines of a sort a second."""
         self._vm = vm
-        self._bound = log_line.Bound(per_s)
+        self._bound = log_line.LineRateLimiter(per_s)
 
     def write(self, now_ms: int, item: message.Log) -> None:
         """Write one event, unless its sort has had its lines this second."""
--- a/eelgrasswick/errors.py
+++ b/eelgrasswick/errors.py
@@ -41,7 +41,7 @@
     EXIT = "exit"
 
 
-class Answer(typing.NamedTuple):
+class ErrorHandling(typing.NamedTuple):
     """How one error kind is answered.
 
     Attributes:
@@ -61,77 +61,77 @@
 _DROP = Reply.DROP
 _EXIT = Reply.EXIT
 
-ANSWERS: typing.Final[dict[ErrorKind, Answer]] = {
-    ErrorKind.NO_TARGET: Answer(
+ERROR_HANDLING: typing.Final[dict[ErrorKind, ErrorHandling]] = {
+    ErrorKind.NO_TARGET: ErrorHandling(
         _REFUSE, True, 1, "Add or restore a target, then retry after the hint."
     ),
-    ErrorKind.SERVICE_LIMIT: Answer(
+    ErrorKind.SERVICE_LIMIT: ErrorHandling(
         _REFUSE, True, 1, "Retry after the hint, or raise the limit rule."
     ),
-    ErrorKind.CALLER_LIMIT: Answer(
+    ErrorKind.CALLER_LIMIT: ErrorHandling(
         _REFUSE, True, 1, "The caller holds its share; close flows or retry later."
     ),
-    ErrorKind.WAIT_EXPIRED: Answer(
+    ErrorKind.WAIT_EXPIRED: ErrorHandling(
         _REFUSE, True, 1, "No slot came free in wait_ms; retry after the hint."
     ),
-    ErrorKind.WAIT_FULL: Answer(
+    ErrorKind.WAIT_FULL: ErrorHandling(
         _REFUSE, True, 1, "Too many wait already; retry after the hint."
     ),
-    ErrorKind.SERVICE_ENDED: Answer(
+    ErrorKind.SERVICE_ENDED: ErrorHandling(
         _REFUSE, True, 1, "The shutdown date has passed; stop calling."
     ),
-    ErrorKind.NO_SERVICE: Answer(
+    ErrorKind.NO_SERVICE: ErrorHandling(
         _REFUSE, True, 1, "No rule names this address; check the rules file."
     ),
-    ErrorKind.FLOW_UNREACHABLE: Answer(
+    ErrorKind.FLOW_UNREACHABLE: ErrorHandling(
         _DROP, False, 1, "Wait for the link to heal; the flow is kept."
     ),
-    ErrorKind.FLOW_UNKNOWN: Answer(
+    ErrorKind.FLOW_UNKNOWN: ErrorHandling(
         _DROP, False, 1, "No VM knows the flow; the caller should open a new one."
     ),
-    ErrorKind.PACKET_MALFORMED: Answer(
+    ErrorKind.PACKET_MALFORMED: ErrorHandling(
         _DROP, False, 1, "Look at the sender; the bytes are no IPv4 packet."
     ),
-    ErrorKind.PACKET_UNSUPPORTED: Answer(
+    ErrorKind.PACKET_UNSUPPORTED: ErrorHandling(
         _DROP, False, 1, "Send unfragmented IPv4 with TCP or UDP."
     ),
-    ErrorKind.SENDER_UNKNOWN: Answer(
+    ErrorKind.SENDER_UNKNOWN: ErrorHandling(
         _DROP, False, 1, "Check the peer or target address against the rules."
     ),
-    ErrorKind.MESSAGE_INVALID: Answer(
+    ErrorKind.MESSAGE_INVALID: ErrorHandling(
         _DROP, False, 1, "A peer runs another version or is not ours."
     ),
-    ErrorKind.CONFIG_STALE: Answer(
+    ErrorKind.CONFIG_STALE: ErrorHandling(
         _DROP, False, 1, "None needed; the newer configuration stays in force."
     ),
-    ErrorKind.CONFIG_INVALID: Answer(
+    ErrorKind.CONFIG_INVALID: ErrorHandling(
         _DROP, False, 1, "Apply a valid rules file; the last good one is in force."
     ),
-    ErrorKind.RULES_INVALID: Answer(
+    ErrorKind.RULES_INVALID: ErrorHandling(
         _EXIT, False, 1, "Mend the lines listed and run check again."
     ),
-    ErrorKind.SETTINGS_INVALID: Answer(
+    ErrorKind.SETTINGS_INVALID: ErrorHandling(
         _EXIT, False, 2, "Mend the settings listed and start again."
     ),
-    ErrorKind.STORE_UNAVAILABLE: Answer(
+    ErrorKind.STORE_UNAVAILABLE: ErrorHandling(
         _EXIT, False, 3, "The platform did not answer; nothing was changed."
     ),
-    ErrorKind.CHANGE_CONFLICT: Answer(
+    ErrorKind.CHANGE_CONFLICT: ErrorHandling(
         _EXIT, False, 4, "Merge the other operator's change and apply again."
     ),
-    ErrorKind.CHANGE_UNKNOWN: Answer(
+    ErrorKind.CHANGE_UNKNOWN: ErrorHandling(
         _EXIT, False, 5, "Run apply again; it finds out by its change id."
     ),
-    ErrorKind.SCENARIO_INVALID: Answer(
+    ErrorKind.SCENARIO_INVALID: ErrorHandling(
         _EXIT, False, 2, "Mend the scenario file and run load again."
     ),
-    ErrorKind.VM_SILENT: Answer(
+    ErrorKind.VM_SILENT: ErrorHandling(
         _EXIT, False, 6, "Ask a live VM, from an address in its [fleet] networks."
     ),
-    ErrorKind.HISTORY_GONE: Answer(
+    ErrorKind.HISTORY_GONE: ErrorHandling(
         _DROP, False, 3, "None needed; the VM reads all rows again."
     ),
-    ErrorKind.ENTRY_INVALID: Answer(
+    ErrorKind.ENTRY_INVALID: ErrorHandling(
         _DROP, False, 1, "Look at who wrote the key; the others stay in use."
     ),
 }
@@ -152,9 +152,9 @@
         self.detail = detail
 
     @property
-    def answer(self) -> Answer:
+    def handling(self) -> ErrorHandling:
         """The answer the table gives for this kind."""
-        return ANSWERS[self.kind]
+        return ERROR_HANDLING[self.kind]
 
 
 class PacketError(EelgrasswickError):
--- a/eelgrasswick/log_line.py
+++ b/eelgrasswick/log_line.py
@@ -34,14 +34,14 @@
     return json.dumps(text)
 
 
-class LeftOut(typing.NamedTuple):
+class SuppressedLines(typing.NamedTuple):
     """How many lines of a sort were not written in a second."""
 
     sort: str
     lines: int
 
 
-class Bound:
+class LineRateLimiter:
     """Lets through a number of lines of each sort a second.
 
     Anyone can send corrupt datagrams. A line for each would fill the disk of
@@ -54,14 +54,14 @@
         self._second = 0
         self._counts: collections.Counter[str] = collections.Counter()
 
-    def next_second(self, now_ms: int) -> list[LeftOut]:
+    def next_second(self, now_ms: int) -> list[SuppressedLines]:
         """Return what was left out, when a new second has begun."""
         second = now_ms // 1000
         if second == self._second:
             return []
         self._second = second
         left_out = [
-            LeftOut(sort, count - self._per_s)
+            SuppressedLines(sort, count - self._per_s)
             for sort, count in self._counts.items()
             if count > self._per_s
         ]
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -87,7 +87,7 @@
         ("audit",),
     ):
         done = run(*arguments, *platform)
-        answer = errors.ANSWERS[errors.ErrorKind.STORE_UNAVAILABLE]
+        answer = errors.ERROR_HANDLING[errors.ErrorKind.STORE_UNAVAILABLE]
         assert done.returncode == answer.exit_code, done.stderr
         assert "store_unavailable" in done.stderr
         assert "Traceback" not in done.stderr
@@ -104,7 +104,7 @@
     settings = tmp_path / "vm.ini"
     settings.write_text("[vm]\nname = A B\n[what]\nx = 1\n")
     done = run("entry", str(settings))
-    answer = errors.ANSWERS[errors.ErrorKind.SETTINGS_INVALID]
+    answer = errors.ERROR_HANDLING[errors.ErrorKind.SETTINGS_INVALID]
     assert done.returncode == answer.exit_code
     for expected in ("[vm] name", "[vm] zone: missing", "[what]: unknown section"):
         assert expected in done.stderr
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -64,7 +64,7 @@
 def test_every_error_kind_stands_with_its_answer(operating: str) -> None:
     table = {row[0]: row for row in rows(operating, "Kind")}
     assert set(table) == {f"`{kind.value}`" for kind in errors.ErrorKind}
-    for kind, answer in errors.ANSWERS.items():
+    for kind, answer in errors.ERROR_HANDLING.items():
         row = table[f"`{kind.value}`"]
         not_run = "yes" if answer.not_run else "no"
         assert row[1:4] == [answer.reply.value, not_run, str(answer.exit_code)]
@@ -73,7 +73,7 @@
 
 
 def test_every_kind_has_an_answer() -> None:
-    assert set(errors.ANSWERS) == set(errors.ErrorKind)
+    assert set(errors.ERROR_HANDLING) == set(errors.ErrorKind)
 
 
 def test_every_metric_stands_with_its_meaning(operating: str) -> None:
