--- a/eelgrasswick/decisions/choice.py
+++ b/eelgrasswick/decisions/choice.py
@@ -93,7 +93,7 @@
     def end(
         self, now_ms: int, flow: bytes, name: str, life_ms: int, reset: bool
     ) -> None:
-        """Note that a flow ended; see ``strength.StrengthBook.ended``."""
+        """Note that a flow ended; see ``strength.StrengthTracker.ended``."""
         self.work.end(flow)
         if reset or life_ms < work.YOUNG_MS:
             self.strength.ended(now_ms, name, life_ms, reset)
--- a/eelgrasswick/decisions/ramp.py
+++ b/eelgrasswick/decisions/ramp.py
@@ -5,7 +5,7 @@
 while it is slow, and its callers wait for seconds. When several come at once
 the healthy ones must carry the rest, so the ramp starts above zero.
 
-``START`` is the speed of a cold target relative to a warm one, and ``RAMP_MS`` its
+``START_FACTOR`` is the speed of a cold target relative to a warm one, and ``RAMP_DURATION_MS`` its
 time to warm up; a shorter ramp hands out work while the target is still slow.
 """
 
--- a/eelgrasswick/platform/store.py
+++ b/eelgrasswick/platform/store.py
@@ -25,7 +25,7 @@
         self._parts: list[bytes] = []
         self.open = True
 
-    def call(self, path: str) -> "defer.Deferred[answers.Answer]":
+    def call(self, path: str) -> "defer.Deferred[answers.HttpResponse]":
         """Send a call; the deferred fails when the connection ends."""
         self._waiting = defer.Deferred(self._cancel)
         self._parts = []
--- a/tests/test_cookie_load.py
+++ b/tests/test_cookie_load.py
@@ -108,7 +108,7 @@
         )
 
     told = lost_later()
-    monkeypatch.setattr(ejection, "WITNESSES", 1_000_000)
+    monkeypatch.setattr(ejection, "MIN_WITNESSES", 1_000_000)
     alone = lost_later()
     assert told <= alone
 
--- a/tests/test_overload_play.py
+++ b/tests/test_overload_play.py
@@ -67,7 +67,7 @@
 @pytest.fixture
 def unlimited(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let VMs refuse no flow."""
-    monkeypatch.setattr(overload, "BEGIN_LATE", 2.0)
+    monkeypatch.setattr(overload, "BEGIN_LATE_SHARE", 2.0)
 
 
 DEMANDS = ("demand_150", "demand_300", "unequal_150")
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -165,7 +165,7 @@
 
     A VM that waited on it would never hear of a change again.
     """
-    monkeypatch.setattr(store, "ANSWER_MS", 100)
+    monkeypatch.setattr(store, "ANSWER_TIMEOUT_MS", 100)
     answers: list[Answer] = [None, _json({"events": [], "store_revision": 4})]
     stand_in, client = start(lambda *_: answers.pop(0))
     with pytest.raises(errors.StoreError):
@@ -187,7 +187,7 @@
 
     Without a bound the only call that is made at a time would hang for minutes.
     """
-    monkeypatch.setattr(store, "CONNECT_MS", 50)
+    monkeypatch.setattr(store, "CONNECT_TIMEOUT_MS", 50)
     with turning.full_listener() as address:
         client = store.Store(default_reactor, address)
         with pytest.raises(errors.StoreError):
