--- a/eelgrasswick/decisions/ramp.py
+++ b/eelgrasswick/decisions/ramp.py
@@ -1,12 +1,13 @@
-"""Cold start: a target that joins or recovers gets its work step by step.
+"""Slow start: a target that joins or recovers gets its share of flows step by step.
 
-Load pattern: a server starts with cold caches, or comes back after a fault,
-and hashing gives it its full share in the same second. Its queue then grows
-while it is slow, and its callers wait for seconds. When several come at once
-the healthy ones must carry the rest, so the ramp starts above zero.
+Load pattern: a server starts with cold caches, or comes back after a fault, and
+hashing gives it its full share in the same second. Its queue then grows while the
+server is slow, and its callers wait for seconds. When several targets come at once,
+the healthy targets must carry the rest, so the ramp starts above zero.
 
-``START_FACTOR`` is the speed of a cold target relative to a warm one, and ``RAMP_DURATION_MS`` its
-time to warm up; a shorter ramp hands out work while the target is still slow.
+``START_FACTOR`` is the speed of a cold target relative to a warm one, and
+``RAMP_DURATION_MS`` is the time that a target needs to warm up. A shorter ramp hands
+out work while the target is still slow.
 """
 
 import typing
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -12,7 +12,7 @@
 WAIT_MS = 300
 
 
-def busy_queue(per_s: int = 100, now_ms: int = 0) -> "waiting.Queue[int]":
+def busy_queue(per_s: int = 100, now_ms: int = 0) -> "waiting.WaitQueue[int]":
     """Return a queue whose service has placed flows at a steady rate."""
     queue: waiting.WaitQueue[int] = waiting.WaitQueue(WAIT_MS)
     for index in range(10 * per_s):
@@ -21,7 +21,7 @@
 
 
 def offer(
-    queue: "waiting.Queue[int]", now_ms: int, number: int, caller: bytes
+    queue: "waiting.WaitQueue[int]", now_ms: int, number: int, caller: bytes
 ) -> admission.Refusal | None:
     return queue.offer(now_ms, number.to_bytes(13, "big"), caller, number)
 
@@ -74,7 +74,7 @@
     queue = busy_queue(per_s=100)
     for number in range(40):
         offer(queue, 0, number, bytes((number,)))
-    times = [queue.promise(0, b"caller%d" % number) for number in range(50)]
+    times = [queue.reserve(0, b"caller%d" % number) for number in range(50)]
     assert len(set(times)) == 50
     assert min(times) >= admission.MIN_RETRY_MS
     queue.expire(WAIT_MS)
@@ -88,7 +88,7 @@
 
 def test_return_before_its_time_gets_no_turn() -> None:
     queue = busy_queue(per_s=100)
-    queue.promise(0, b"early")
+    queue.reserve(0, b"early")
     offer(queue, 10, 1, b"other")
     offer(queue, 10, 2, b"early")
     first = queue.first()
@@ -98,8 +98,8 @@
 def test_one_caller_cannot_take_all_turns() -> None:
     queue = busy_queue(per_s=10)
     for _ in range(1000):
-        queue.promise(0, b"loop")
-    assert queue.promise(0, b"once") < 2 * admission.MIN_RETRY_MS
+        queue.reserve(0, b"loop")
+    assert queue.reserve(0, b"once") < 2 * admission.MIN_RETRY_MS
 
 
 def test_zero_wait_refuses_at_once() -> None:
