--- a/eelgrasswick/platform/answers.py
+++ b/eelgrasswick/platform/answers.py
@@ -48,7 +48,7 @@
             page = [row(item) for item in body["items"]]
             # Pages are no snapshot. What changes after the first one is asked for
             # again from its revision.
-            self._revision = self._revision or number(body["store_revision"])
+            self._revision = self._revision or whole_number(body["store_revision"])
             more = bool(body["has_more"])
         except DECODE_ERRORS as fault:
             raise errors.StoreError(f"{names.RANGE_PATH}: {fault!r}") from fault
@@ -61,18 +61,18 @@
         return source.Changes(tuple(self._rows), self._revision, 0)
 
 
-def target(path: str, query: dict[str, str]) -> str:
+def request_target(path: str, query: dict[str, str]) -> str:
     """Return what a call asks for: its path and query."""
     return f"{path}?{urllib.parse.urlencode(query)}"
 
 
-def request(http: h11.Connection, host: str, asked: str) -> bytes:
+def encode_request(http: h11.Connection, host: str, asked: str) -> bytes:
     """Return a call's bytes."""
     head = h11.Request(method="GET", target=asked, headers=[("Host", host)])
     return (http.send(head) or b"") + (http.send(h11.EndOfMessage()) or b"")
 
 
-def read(name: str, answer: HttpResponse) -> Body:
+def decode_body(name: str, answer: HttpResponse) -> Body:
     """Return the body of an answer.
 
     Raises:
@@ -100,10 +100,10 @@
     key = item["key"]
     if not isinstance(key, str):
         raise TypeError("a key is no text")
-    return source.Row(key, value, number(item["revision"]))
+    return source.Row(key, value, whole_number(item["revision"]))
 
 
-def number(value: object) -> int:
+def whole_number(value: object) -> int:
     """Return a value that must be a whole number."""
     if isinstance(value, bool) or not isinstance(value, int):
         raise TypeError(f"{value!r} is no whole number")
--- a/eelgrasswick/platform/listing.py
+++ b/eelgrasswick/platform/listing.py
@@ -87,8 +87,8 @@
     def _send_next(self) -> None:
         if self._listing.query is None:
             return
-        asked = answers.target(names.RANGE_PATH, self._listing.query)
-        self._socket.sendall(answers.request(self._http, self._host, asked))
+        asked = answers.request_target(names.RANGE_PATH, self._listing.query)
+        self._socket.sendall(answers.encode_request(self._http, self._host, asked))
 
     def _events(self) -> None:
         while True:
@@ -109,7 +109,7 @@
         body = b"".join(self._parts)
         self._parts = []
         answer = answers.HttpResponse(self._status, body)
-        self._listing.add(answers.read(names.RANGE_PATH, answer))
+        self._listing.add(answers.decode_body(names.RANGE_PATH, answer))
         if self._listing.query is None:
             return
         self._http.start_next_cycle()
--- a/eelgrasswick/platform/store.py
+++ b/eelgrasswick/platform/store.py
@@ -29,7 +29,7 @@
         """Send a call; the deferred fails when the connection ends."""
         self._waiting = defer.Deferred(self._cancel)
         self._parts = []
-        self._write(answers.request(self._http, self._host, path))
+        self._write(answers.encode_request(self._http, self._host, path))
         return self._waiting
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -114,7 +114,7 @@
         body = await self._call(names.WATCH_PATH, query, wait_ms + ANSWER_TIMEOUT_MS)
         try:
             rows = tuple(answers.row(item) for item in body["events"])
-            revision = answers.number(body["store_revision"])
+            revision = answers.whole_number(body["store_revision"])
         except answers.DECODE_ERRORS as fault:
             raise errors.StoreError(f"{names.WATCH_PATH}: {fault!r}") from fault
         return source.Changes(rows, revision, after)
@@ -123,14 +123,14 @@
         self, name: str, query: dict[str, str], timeout_ms: int
     ) -> answers.Body:
         connection = await self._connected()
-        call = connection.call(answers.target(name, query)).addTimeout(
+        call = connection.call(answers.request_target(name, query)).addTimeout(
             timeout_ms / 1000, self._reactor
         )
         try:
             answer = await call
         except (defer.TimeoutError, defer.CancelledError) as fault:
             raise errors.StoreError(f"{name}: no answer in {timeout_ms} ms") from fault
-        return answers.read(name, answer)
+        return answers.decode_body(name, answer)
 
     async def _connected(self) -> _Connection:
         known = self._connection
