--- a/eelgrasswick/decisions/admission.py
+++ b/eelgrasswick/decisions/admission.py
@@ -1,10 +1,10 @@
-"""Whether a new flow is let in.
+"""Admission control: whether a new flow is admitted.
 
-Load pattern: a few callers, or one service in its last days, open more flows
-than the targets hold. Without a limit at the door all flows of the service
-slow down together. The limits of the rules are for the fleet; each home
-applies its share, so that several homes that decide at once stay within the
-limit, and a VM that is cut off takes its share only.
+Load pattern: a few callers, or one service in its last days, open more flows than the
+targets hold. Without admission control all flows of the service slow down together. The
+limits of the rules apply to the whole fleet. Each home applies its share of them, so
+that several homes that decide at once stay within the limit, and a VM that is cut off
+uses only its own share.
 """
 
 import typing
@@ -15,15 +15,16 @@
 )
 
 MIN_RETRY_MS: typing.Final = 1000
-SPREAD: typing.Final = 1.0
+# The longest delay exceeds the shortest one by this part of it.
+RETRY_JITTER: typing.Final = 1.0
 
 
 class LimitUsage(typing.NamedTuple):
-    """What a home knows when a flow asks to be let in.
+    """Limits of a service and how much of them is used at one home.
 
     Attributes:
         limit: Fleet-wide limits of the service.
-        share: Part of the fleet's flows that this home decides, 0 to 1.
+        share: Part of the fleet's flows that this home decides on, 0 to 1.
         service_flows: Open flows of the service at this home.
         caller_flows: Open flows of the caller at this home.
     """
@@ -35,44 +36,44 @@
 
 
 class Refusal(typing.NamedTuple):
-    """Why a flow is turned away and when to come back."""
+    """Why a flow is refused, and after how many milliseconds to retry."""
 
     kind: errors.ErrorKind
     retry_after_ms: int
 
 
 def retry_ms(fraction: float) -> int:
-    """Return when to come back after a refusal that no queue gave a turn.
+    """Return the retry delay of a refusal for which no reservation is made.
 
-    Told the same time, all callers that were refused in one second would
-    return in one second and be refused again.
+    The delay differs between flows. With equal delays all callers that were refused in
+    one second would return in one second and be refused again.
 
     Args:
-        fraction: Differs evenly from flow to flow, 0 to 1.
+        fraction: Number from 0 to 1, evenly distributed over flows.
     """
-    return int(MIN_RETRY_MS * (1 + SPREAD * fraction))
+    return int(MIN_RETRY_MS * (1 + RETRY_JITTER * fraction))
 
 
-def admit(demand: LimitUsage, fraction: float) -> Refusal | None:
-    """Return None when the flow may come in, or the reason why not.
+def admit(usage: LimitUsage, fraction: float) -> Refusal | None:
+    """Return None when the flow is admitted, or the reason for its refusal.
 
     Args:
-        demand: What the home knows.
-        fraction: Differs evenly from flow to flow, 0 to 1.
+        usage: The limits of the service and their use at this home.
+        fraction: Number from 0 to 1, evenly distributed over flows.
     """
-    if over(demand.limit.flows, demand.share, demand.service_flows):
+    if exceeds_share(usage.limit.flows, usage.share, usage.service_flows):
         return Refusal(errors.ErrorKind.SERVICE_LIMIT, retry_ms(fraction))
-    if over(demand.limit.per_caller, demand.share, demand.caller_flows):
+    if exceeds_share(usage.limit.per_caller, usage.share, usage.caller_flows):
         return Refusal(errors.ErrorKind.CALLER_LIMIT, retry_ms(fraction))
     return None
 
 
-def over(limit: int, share: float, present: int) -> bool:
-    """Tell whether one more flow would pass a home's share of a limit.
+def exceeds_share(limit: int, share: float, open_flows: int) -> bool:
+    """Return whether one more flow would exceed a home's share of a limit.
 
-    A limit of zero means none. A share below one flow still admits one, or a
-    small limit over many homes would admit nobody.
+    A limit of zero means that there is no limit. A share below one flow still admits
+    one flow, because a small limit over many homes would otherwise admit none.
     """
     if not limit:
         return False
-    return present + 1 > max(1.0, limit * share)
+    return open_flows + 1 > max(1.0, limit * share)
--- a/eelgrasswick/decisions/backoff.py
+++ b/eelgrasswick/decisions/backoff.py
@@ -1,26 +1,26 @@
-"""How long to wait before a failed call is made again.
+"""Exponential backoff with jitter for failed calls.
 
-Load pattern: the platform's store goes down and comes back. If all watchers
-called again at once, in step, the store would be pushed over as it returns. The
-wait doubles from ``FIRST_MS`` to ``LAST_MS``, and a random part spreads callers;
-the last wait is below the three seconds in which a change must be in force.
+Load pattern: the platform's store fails and recovers. If all watchers called again at
+the same moment, the store would be overloaded as it recovers. The wait doubles from
+``MIN_WAIT_MS`` to ``MAX_WAIT_MS``, and jitter spreads the callers. The longest wait is
+below the three seconds within which a change must be in force.
 """
 
 import typing
 
-FIRST_MS: typing.Final = 100
-LAST_MS: typing.Final = 1500
+MIN_WAIT_MS: typing.Final = 100
+MAX_WAIT_MS: typing.Final = 1500
 
 
 def wait_ms(failures: int, fraction: float) -> int:
-    """Return the wait before the next try.
+    """Return the wait before the next attempt.
 
     Args:
-        failures: Failed tries in a row, from 1.
-        fraction: A random number from 0 to 1.
+        failures: Consecutive failed attempts, at least 1.
+        fraction: Random number from 0 to 1.
 
     Returns:
         Milliseconds, between half of the full wait and all of it.
     """
-    full = min(LAST_MS, FIRST_MS * 2 ** min(failures - 1, 10))
+    full = min(MAX_WAIT_MS, MIN_WAIT_MS * 2 ** min(failures - 1, 10))
     return int(full * (0.5 + 0.5 * fraction))
--- a/eelgrasswick/decisions/choice.py
+++ b/eelgrasswick/decisions/choice.py
@@ -1,8 +1,8 @@
-"""Chooses a target for a new flow from all that a home knows.
+"""Choice of a target for a new flow.
 
-It puts the decisions under load together in the order in which they apply:
-what is usable, what has room, how strong each target is, and then the policy.
-It answers no load pattern of its own; the modules it joins do.
+The module applies the decisions under load in a fixed order: which targets are usable,
+which have room, how strong each target is, and then the placement policy. It answers no
+load pattern of its own; the modules that it combines do.
 """
 
 import typing
@@ -20,13 +20,13 @@
 
 
 class Candidate(typing.NamedTuple):
-    """What a home knows of a target besides what it placed there itself.
+    """A target and what other sources than this home's flows say of it.
 
     Attributes:
         target: The target.
-        open_flows: Its open flows over the whole fleet, as far as known.
+        open_flows: Estimate of its open flows over the whole fleet.
         recent_elsewhere: Recent starts on it at other homes, as reported.
-        usable: False when it is taken for dead, full or out of reach.
+        usable: False when it is suspected dead, full or out of reach.
     """
 
     target: target.Target
@@ -36,11 +36,11 @@
 
 
 class Choice(typing.NamedTuple):
-    """What came of a choice.
+    """The result of a choice.
 
     Attributes:
         target: The target, or None.
-        waits: True when a usable target may have room soon.
+        waits: True when no target was chosen but a usable one may have room soon.
     """
 
     target: target.Target | None
@@ -48,10 +48,10 @@
 
 
 class Chooser:
-    """What one home has learned of the targets, and its policy."""
+    """Observations of targets at one home, and the placement policy."""
 
     def __init__(self, policy: placement.Placement) -> None:
-        """Choose by a policy; nothing is learned at first."""
+        """Create a chooser with a policy and no observations."""
         self.work = work.WorkBook()
         self.strength = strength.StrengthTracker()
         self.ramp = ramp.RampTracker()
@@ -60,40 +60,42 @@
         self._shift = shift.ExceptionBudget()
         self._policy = policy
 
-    def choose(self, now_ms: int, sights: typing.Sequence[Candidate]) -> Choice:
-        """Choose among targets, the default of the flow in front.
+    def choose(self, now_ms: int, candidates: typing.Sequence[Candidate]) -> Choice:
+        """Choose a target for a new flow.
 
         Args:
             now_ms: Present time in milliseconds.
-            sights: Targets that accept flows, in hash order.
+            candidates: Targets that accept flows, in hash order; the first is the
+                default of the flow.
         """
-        if not sights:
+        if not candidates:
             return Choice(None, False)
-        zone = sights[0].target.zone
-        # Exceptions stay in the zone while it has room: a flow that crosses
-        # zones pays the way with every packet and dies with either zone.
-        near = sorted(sights, key=lambda item: item.target.zone != zone)
+        zone = candidates[0].target.zone
+        # Exceptions stay in the default target's zone while it has room. A flow that
+        # crosses zones has a longer path for every packet and breaks when either zone
+        # fails.
+        near = sorted(candidates, key=lambda item: item.target.zone != zone)
         loads = [self._load(now_ms, item) for item in near]
         chosen = self._policy.choose(loads, self._shift.factor(now_ms))
-        waits = chosen is None and any(item.usable for item in sights)
+        waits = chosen is None and any(item.usable for item in candidates)
         return Choice(chosen, waits)
 
     def begin(self, now_ms: int, flow: bytes, name: str, exception: bool) -> None:
-        """Note that a flow was placed on a target."""
+        """Record that a flow was placed on a target."""
         self.work.begin(now_ms, flow, name)
         self.retry.earn()
         if exception:
             self._shift.spend(now_ms)
 
     def move(self, now_ms: int, flow: bytes, name: str) -> None:
-        """Note that a flow went to another target before any work."""
+        """Record that a flow was moved to another target before any work."""
         self.work.move(now_ms, flow, name)
         self._shift.spend(now_ms)
 
     def end(
         self, now_ms: int, flow: bytes, name: str, life_ms: int, reset: bool
     ) -> None:
-        """Note that a flow ended; see ``strength.StrengthTracker.ended``."""
+        """Record that a flow ended; see ``strength.StrengthTracker.ended``."""
         self.work.end(flow)
         if reset or life_ms < work.YOUNG_MS:
             self.strength.ended(now_ms, name, life_ms, reset)
@@ -101,10 +103,10 @@
             self._concurrency.ended(now_ms, name, life_ms, self.work.busy(name))
 
     def tick(self, now_ms: int) -> None:
-        """Let flows grow old, and learn from it.
+        """Record the flows that are no longer young.
 
-        A target that hangs ends no flow at all. Its flows count as long ones
-        as soon as they are old, or nothing would ever tell against it.
+        A target that hangs ends no flow. Its flows count as long flows as soon as they
+        are no longer young, because nothing else would be evidence against the target.
         """
         for name in self.work.tick(now_ms):
             self._concurrency.aged(now_ms, name)
--- a/eelgrasswick/decisions/ejection.py
+++ b/eelgrasswick/decisions/ejection.py
@@ -1,34 +1,35 @@
-"""Outlier ejection: which targets get no new flows because their answers stay out.
+"""Outlier ejection of targets that leave requests unanswered.
 
-Answers the load of a large fleet before targets that hang: they accept flows and
+Load pattern: a large fleet in front of targets that hang. Such targets accept flows and
 answer nothing, so that neither an unanswered opening packet nor a refused connection
-tells of them. Each VM has a flow or two on such a target. Left to itself it finds
-out by its own callers' requests, one target after the other.
-
-VMs of a zone therefore share witnesses: that a request of theirs is overdue at a
-target. Enough witnesses within a short time eject it for all of them. An ejection
-ends by itself, later each time it follows the one before closely, and at another
-moment on each VM, so that the first flow that returns is a trial for all. One
-witness is then enough to eject the target again.
-
-A slow service looks the same as many targets that hang. So no more than a part of
-the targets of a service and zone is ever ejected; beyond it none is (the panic
-threshold of Envoy's outlier detection).
+reveals them. Each VM has one or two flows on such a target. Without exchange between
+VMs each one detects the fault only by its own callers' requests, one target after the
+other.
+
+The VMs of a zone therefore exchange witnesses: reports that a request of theirs is
+overdue at a target. Enough witnesses within a short time eject the target for all of
+these VMs. An ejection ends by itself. It lasts longer when it closely follows the one
+before, and ends at a different moment on each VM, so that the first flow that returns
+is a trial for all VMs. One witness is then enough to eject the target again.
+
+A slow service looks the same as many targets that hang. At most a part of the targets
+of a service and zone is therefore ejected; beyond it no target is (the panic threshold
+of Envoy's outlier detection).
 """
 
 import typing
 
-# Witnesses within this time count together.
+# Witnesses within this time of one another are counted together.
 WITNESS_WINDOW_MS: typing.Final = 1500
 MIN_WITNESSES: typing.Final = 3
-# How long the first ejection lasts, and the longest one. Up to half as long again
-# is added at random.
+# Lengths of the first and of the longest ejection. A random part of up to half of the
+# length is added.
 BASE_EJECTION_MS: typing.Final = 2000
-LONGEST_MS: typing.Final = 4000
+MAX_EJECTION_MS: typing.Final = 4000
 JITTER: typing.Final = 0.5
-# For so long after an ejection one witness begins the next.
+# For this time after an ejection ends, one witness is enough to eject the target again.
 PROBATION_MS: typing.Final = 5000
-MAX_EJECTED_PART: typing.Final = 0.5
+MAX_EJECTED_SHARE: typing.Final = 0.5
 
 
 class Witness(typing.NamedTuple):
@@ -37,7 +38,7 @@
     Attributes:
         cookie: The target.
         vm: Identifies the VM.
-        age_ms: How long ago it noticed.
+        age_ms: How long ago the VM detected it.
     """
 
     cookie: int
@@ -46,12 +47,12 @@
 
 
 class Ejection(typing.NamedTuple):
-    """A target that was ejected.
+    """The ejection of a target.
 
     Attributes:
         cookie: The target.
-        witnesses: VMs that have overdue requests there.
-        lasts_ms: How long it gets no new flow.
+        witnesses: How many VMs have overdue requests there.
+        lasts_ms: How long the target gets no new flow.
     """
 
     cookie: int
@@ -69,34 +70,34 @@
 
 
 class OutlierEjection:
-    """Witnesses and ejections by target, as one VM knows them.
+    """Witnesses and ejections by target, as recorded by one VM.
 
     Attributes:
-        fresh: Ejections that were not logged yet.
+        unlogged: Ejections that are not logged yet.
     """
 
     def __init__(self) -> None:
-        """Begin with no target ejected."""
+        """Start with no target ejected."""
         self.unlogged: list[Ejection] = []
         self._records: dict[int, _Record] = {}
 
     @property
     def active(self) -> bool:
-        """False while there is nothing against any target."""
+        """False while there are no records of any target."""
         return bool(self._records)
 
     def add_witness(self, now_ms: int, item: Witness, fraction: float) -> bool:
-        """Take a witness of this or another VM.
+        """Record a witness of this or another VM.
 
         Args:
-            now_ms: Present time.
+            now_ms: Present time in milliseconds.
             item: The witness.
-            fraction: A random number from 0 to 1, which keeps the VMs' ends of an
-                ejection apart.
+            fraction: Random number from 0 to 1, which makes the VMs end an ejection at
+                different moments.
 
         Returns:
-            True when other VMs should hear of it: it is new here, and the target
-            has not had all the witnesses that count.
+            True when the witness is to be sent to other VMs: it is new to this VM, and
+            the target had fewer witnesses than an ejection needs.
         """
         at_ms = now_ms - item.age_ms
         if item.age_ms > WITNESS_WINDOW_MS:
@@ -115,32 +116,32 @@
         return new
 
     def ejected(self, now_ms: int, cookie: int) -> bool:
-        """Tell whether a target has enough witnesses against it."""
+        """Return whether a target is ejected now."""
         record = self._records.get(cookie)
         return record is not None and now_ms < record.until_ms
 
     def allowed(
         self, now_ms: int, cookies: typing.Collection[int]
     ) -> typing.Collection[int]:
-        """Return which of the targets of a service and zone may get new flows.
+        """Return the targets of a service and zone that may get new flows.
 
         Args:
-            now_ms: Present time.
-            cookies: All of them.
+            now_ms: Present time in milliseconds.
+            cookies: All targets of the service and zone.
         """
-        found = {item for item in cookies if self.ejected(now_ms, item)}
-        if len(found) > max(1, MAX_EJECTED_PART * len(cookies)):
+        ejected = {item for item in cookies if self.ejected(now_ms, item)}
+        if len(ejected) > max(1, MAX_EJECTED_SHARE * len(cookies)):
             return cookies
-        return [item for item in cookies if item not in found]
+        return [item for item in cookies if item not in ejected]
 
     def keep(self, now_ms: int, cookies: typing.Collection[int]) -> None:
-        """Forget targets that are gone or were not heard of for a while."""
-        over = [
+        """Delete records of targets that are gone or have no recent witness."""
+        expired = [
             cookie
             for cookie, record in self._records.items()
-            if cookie not in cookies or self._is_over(now_ms, record)
+            if cookie not in cookies or self._is_expired(now_ms, record)
         ]
-        for cookie in over:
+        for cookie in expired:
             del self._records[cookie]
 
     def _needed(self, at_ms: int, record: _Record) -> int:
@@ -152,12 +153,12 @@
     ) -> None:
         again = record.lasts_ms and now_ms - record.until_ms < PROBATION_MS
         record.lasts_ms = (
-            min(LONGEST_MS, 2 * record.lasts_ms) if again else BASE_EJECTION_MS
+            min(MAX_EJECTION_MS, 2 * record.lasts_ms) if again else BASE_EJECTION_MS
         )
         lasts_ms = int(record.lasts_ms * (1 + JITTER * fraction))
         record.until_ms = now_ms + lasts_ms
         self.unlogged.append(Ejection(cookie, len(record.seen_ms), lasts_ms))
 
-    def _is_over(self, now_ms: int, record: _Record) -> bool:
+    def _is_expired(self, now_ms: int, record: _Record) -> bool:
         last_ms = max(record.until_ms, max(record.seen_ms.values(), default=0))
         return now_ms - last_ms >= PROBATION_MS
--- a/eelgrasswick/decisions/health.py
+++ b/eelgrasswick/decisions/health.py
@@ -1,57 +1,59 @@
-"""Which targets are taken for dead, by what the entry VMs see themselves.
+"""Passive health checks: targets that are suspected dead.
 
-Load pattern: a target dies or hangs while its health endpoint lags. Without
-this, its share of new flows waits for a retransmission and more. A target's
-kernel answers a SYN within a round trip; several unanswered ones in a row, and
-none answered meanwhile, are strong evidence. The panic threshold keeps a fault
-of the network, which makes all targets look dead, from removing all of them.
+Load pattern: a target dies or hangs while its health endpoint lags. Without this check,
+its share of new flows waits for a retransmission or longer. A target's kernel answers a
+SYN within a round trip; several unanswered ones in a row, with no answered one between
+them, are strong evidence. The panic threshold keeps a network fault, which makes all
+targets look dead, from removing all of them.
 """
 
 import typing
 
-FAILURES: typing.Final = 3
+MIN_FAILURES: typing.Final = 3
 ANSWER_TIMEOUT_MS: typing.Final = 400
+# A suspected target is offered flows again after this time.
 RETRY_MS: typing.Final = 2000
+# When more than this share of targets is suspected, all stay usable.
 PANIC_SHARE: typing.Final = 0.5
 
 
-class _Sight:
-    __slots__ = ("failures", "since_ms")
+class _Record:
+    __slots__ = ("failures", "failed_ms")
 
     def __init__(self) -> None:
         self.failures = 0
-        self.since_ms = 0
+        self.failed_ms = 0
 
 
 class HealthTracker:
-    """Counts unanswered opening packets per target."""
+    """Counts of unanswered opening packets by target."""
 
     def __init__(self) -> None:
         """Start with every target healthy."""
-        self._sights: dict[str, _Sight] = {}
+        self._records: dict[str, _Record] = {}
 
     def answered(self, name: str) -> bool:
-        """Note that a target answered; True when it had been suspected."""
-        sight = self._sights.pop(name, None)
-        return sight is not None and sight.failures >= FAILURES
+        """Record an answer of a target; return whether it was suspected."""
+        record = self._records.pop(name, None)
+        return record is not None and record.failures >= MIN_FAILURES
 
     def unanswered(self, now_ms: int, name: str) -> None:
-        """Note that a target left an opening packet unanswered."""
-        sight = self._sights.setdefault(name, _Sight())
-        sight.failures += 1
-        if sight.failures >= FAILURES:
-            sight.since_ms = now_ms
+        """Record that a target left an opening packet unanswered."""
+        record = self._records.setdefault(name, _Record())
+        record.failures += 1
+        if record.failures >= MIN_FAILURES:
+            record.failed_ms = now_ms
 
     def suspected(self, now_ms: int, name: str) -> bool:
-        """Tell whether a target should get no new flow now.
+        """Return whether a target should get no new flow now.
 
-        After ``RETRY_MS`` a suspected target is offered flows again; one more
-        failure suspects it anew.
+        After ``RETRY_MS`` a suspected target is offered flows again. One more failure
+        makes it suspected again.
         """
-        sight = self._sights.get(name)
-        if sight is None or sight.failures < FAILURES:
+        record = self._records.get(name)
+        if record is None or record.failures < MIN_FAILURES:
             return False
-        return now_ms - sight.since_ms < RETRY_MS
+        return now_ms - record.failed_ms < RETRY_MS
 
 
 def usable(suspected: typing.Sequence[bool]) -> list[bool]:
--- a/eelgrasswick/decisions/load.py
+++ b/eelgrasswick/decisions/load.py
@@ -1,9 +1,9 @@
-"""Estimates of what each target has over the whole fleet.
+"""Estimates of the load of each target over the whole fleet.
 
-Load pattern: every home places flows on the same targets, and knows only its
-own. Without the others' counts each would fill its share evenly while chance
-lets several fill the same target. One report a second from each home, replaced
-as a whole, is enough because the counts of recent starts fade over ten.
+Load pattern: every home places flows on the same targets and counts only its own.
+Without the counts of other homes, each would fill its share evenly while by chance
+several fill the same target. One report a second from each home, replaced as a whole,
+is enough because the counts of recent starts decay over ten seconds.
 """
 
 import collections
@@ -11,13 +11,14 @@
 
 from eelgrasswick import wire
 
+# A report is dropped at this age.
 STALE_MS: typing.Final = 5000
 
 
 def report(
     flows: typing.Mapping[str, int], tenths: typing.Mapping[str, int]
 ) -> wire.LoadReport:
-    """Return a home's report.
+    """Return the report of this home to other homes.
 
     Args:
         flows: Open flows by target.
@@ -36,28 +37,28 @@
 
 
 class LoadTracker:
-    """The latest report of each other home, and what they add up to."""
+    """The latest report of each other home, and their totals."""
 
     def __init__(self) -> None:
-        """Start without reports."""
+        """Create a tracker without reports."""
         self._reports: dict[str, _Report] = {}
         self._flows: collections.Counter[str] = collections.Counter()
         self._recent_tenths: collections.Counter[str] = collections.Counter()
 
     def record(self, now_ms: int, sender: str, report: wire.LoadReport) -> None:
-        """Take a home's report in place of its last one."""
-        before = self._reports.get(sender)
-        if before is not None:
-            self._add(before, -1)
+        """Replace the last report of a home by a new one."""
+        previous = self._reports.get(sender)
+        if previous is not None:
+            self._add(previous, -1)
         self._reports[sender] = _Report(now_ms, report.entries)
         self._add(self._reports[sender], 1)
 
     def expire(self, now_ms: int) -> None:
-        """Drop reports that are too old to say anything.
+        """Drop reports that are too old to be of use.
 
-        A home that died no longer places flows, and its flows are counted anew
-        by the homes that take them over; counted twice, its targets would look
-        full and get no new flows.
+        A home that died no longer places flows, and the homes that take its flows over
+        count them again. Counted twice, its targets would look full and get no new
+        flows.
         """
         old = [
             name
@@ -72,7 +73,7 @@
         return self._flows[name]
 
     def has_reports_from(self, names: typing.Iterable[str]) -> bool:
-        """Tell whether there is a recent report of each of these homes."""
+        """Return whether each of these homes has sent a recent report."""
         return all(name in self._reports for name in names)
 
     def recent_elsewhere(self, name: str) -> float:
--- a/eelgrasswick/decisions/placement.py
+++ b/eelgrasswick/decisions/placement.py
@@ -1,14 +1,15 @@
-"""Which target a new flow goes to.
-
-Load pattern: many short flows with some long ones, targets of unequal
-strength, several homes that decide at once. Plain weighted hashing leaves the
-fullest target far above the mean, and that target delays check-ins. Bounded
-load (Mirrokni, Thorup and Zadimoghaddam, "Consistent hashing with bounded
-loads", 2016) passes over a target that is above its share by a factor, so most
-flows stay where hashing alone puts them and need no message.
-
-``BUSY_SLACK`` is half a flow, so that a second young flow of the same home is
-sent on while others are idle. Without ``OPEN_PER_SLOT`` weak targets get too little.
+"""Placement policies for new flows.
+
+Load pattern: many short flows with some long ones, targets of unequal strength, and
+several homes that decide at once. Plain weighted hashing leaves the fullest target far
+above the mean, and that target answers late. Bounded load (Mirrokni, Thorup and
+Zadimoghaddam, "Consistent hashing with bounded loads", 2016) passes over a target that
+is above its share by a factor, so most flows stay where hashing alone puts them and
+need no message.
+
+``BUSY_SLACK`` is half a flow, so that a second young flow of the same home goes to
+another target while others are idle. Without ``OPEN_PER_SLOT`` weak targets get too few
+flows.
 """
 
 import abc
@@ -17,21 +18,24 @@
 
 from eelgrasswick import target
 
+# How far the open flows of a target may exceed its share of them.
 OPEN_FACTOR: typing.Final = 1.25
+# Open flows for each slot that are allowed on top of the share.
 OPEN_PER_SLOT: typing.Final = 3
+# Young flows of the home that are allowed on top of the bound.
 BUSY_SLACK: typing.Final = 0.5
 
 
 class TargetLoad(typing.NamedTuple):
-    """What a home knows of one target when it places a flow.
+    """The load of one target when a home places a flow.
 
     Attributes:
         target: The target.
         open_flows: Estimate of its open flows over the whole fleet.
         busy: Young flows that this home has on it.
-        recent: Estimate of the flows it lately got, fading with time.
-        strength: Share of the work it should get, relative to the others.
-        usable: False when it is taken for dead, full or out of reach.
+        recent: Estimate of the flows that it got recently, decaying with time.
+        strength: Share of the work that it should get, relative to the others.
+        usable: False when it is suspected dead, full or out of reach.
     """
 
     target: target.Target
@@ -43,11 +47,11 @@
 
 
 class Placement(abc.ABC):
-    """A policy for new flows; it keeps no clock, network or randomness.
+    """A policy for new flows; it uses no clock, network or randomness.
 
     Attributes:
-        learns: False for a policy that takes targets as they claim to be: no
-            learned strength, no ramp and no concurrency limit.
+        learns: False for a policy that uses the configured weights only: no learned
+            strength, no ramp and no concurrency limit.
     """
 
     learns: bool = True
@@ -59,9 +63,10 @@
         """Choose a target.
 
         Args:
-            ranked: Targets that accept flows, the default of the flow in front.
+            ranked: Targets that accept flows in hash order; the first is the default of
+                the flow.
             factor: How far above its share of recent flows a target may be; see
-                ``shift.ShiftBudget``.
+                ``shift.ExceptionBudget``.
 
         Returns:
             The target, or None when no target is usable.
@@ -71,9 +76,9 @@
 class BoundedHash(Placement):
     """The first target in hash order that is within all bounds.
 
-    One bound is on the flows lately placed, which keeps short work even; one
-    is on open flows, which keeps boards and downloads even; and one is on the
-    home's own young flows, the only figure that is never late.
+    The bound on recently placed flows keeps short work even. The bound on open flows
+    keeps long-lived flows and downloads even. The bound on the home's own young flows
+    uses the only figure that is never late.
     """
 
     def choose(
@@ -91,20 +96,20 @@
         slots = sum(item.target.slots for item in usable)
         busy = sum(item.busy for item in usable) / slots
         for item in usable:
-            # Half a flow of slack: a target whose share is below one flow must
-            # still be able to get one.
+            # The slack is half a flow, because a target whose share is below one flow
+            # must still be able to get one.
             even = item.recent + 0.5 <= factor * recent * item.strength
-            # At the same use of its slots a slow target has as many requests
-            # open as a fast one. Counted by strength they would make it look
-            # full, and it would get a tenth too little.
-            working = OPEN_PER_SLOT * item.target.slots
+            # At the same use of its slots a slow target has as many open requests as a
+            # fast one. A bound by strength alone would make it look full, and it would
+            # get a tenth too little.
+            slot_allowance = OPEN_PER_SLOT * item.target.slots
             share = OPEN_FACTOR * opened * item.strength
-            light = item.open_flows <= share + working
+            light = item.open_flows <= share + slot_allowance
             idle = item.busy <= factor * busy * item.target.slots + BUSY_SLACK
             if even and light and idle:
                 return item.target
-        return min(usable, key=_fill).target
+        return min(usable, key=_recent_per_strength).target
 
 
-def _fill(item: TargetLoad) -> float:
+def _recent_per_strength(item: TargetLoad) -> float:
     return (item.recent + 1) / item.strength
--- a/eelgrasswick/decisions/ramp.py
+++ b/eelgrasswick/decisions/ramp.py
@@ -17,19 +17,19 @@
 
 
 class RampTracker:
-    """When each target was last begun to be used."""
+    """The time at which each target began to be used."""
 
     def __init__(self) -> None:
-        """Start without targets."""
+        """Create a tracker without targets."""
         self._since_ms: dict[str, int] = {}
         self._known: set[str] = set()
 
     def update_targets(self, now_ms: int, names: typing.Collection[str]) -> None:
-        """Take the targets that accept flows; the new ones begin a ramp.
+        """Replace the set of targets that accept flows; new ones start a ramp.
 
-        When no target was known before, this VM is the one that is new, and
-        nothing is known about the targets' age: no ramp. Otherwise every start
-        of a VM would treat the whole fleet as cold.
+        When no target was recorded before, this VM itself is new and the age of the
+        targets is unknown, so none starts a ramp. Otherwise every start of a VM would
+        treat the whole fleet as cold.
         """
         if self._known:
             for name in names:
@@ -38,7 +38,7 @@
         self._known = set(names)
 
     def restart(self, now_ms: int, name: str) -> None:
-        """Note that a target came back after a fault."""
+        """Start a ramp for a target that came back after a fault."""
         self._since_ms[name] = now_ms
 
     def factor(self, now_ms: int, name: str) -> float:
@@ -46,8 +46,8 @@
         since_ms = self._since_ms.get(name)
         if since_ms is None:
             return 1.0
-        age = (now_ms - since_ms) / RAMP_DURATION_MS
-        if age >= 1.0:
+        progress = (now_ms - since_ms) / RAMP_DURATION_MS
+        if progress >= 1.0:
             del self._since_ms[name]
             return 1.0
-        return START_FACTOR + (1 - START_FACTOR) * max(0.0, age)
+        return START_FACTOR + (1 - START_FACTOR) * max(0.0, progress)
--- a/eelgrasswick/decisions/response_time.py
+++ b/eelgrasswick/decisions/response_time.py
@@ -1,14 +1,15 @@
-"""How long a service usually takes for an answer, with its spread.
+"""Estimate of the usual answer time of a service and its deviation.
 
-Answers the load of services whose work differs: what is overdue for one is usual
-for another. Mean and mean deviation are smoothed as in RFC 6298, and their sum says
-how long an answer may take before its absence is a sign.
+Load pattern: services whose work differs, so that an answer time that is overdue for
+one is usual for another. Mean and mean deviation are smoothed as in RFC 6298. The mean
+plus ``DEVIATIONS`` deviations is the time after which a missing answer is evidence of a
+fault.
 """
 
 import typing
 
-# Weights of a new sample in the mean and in the deviation, and how many deviations
-# above the mean are still usual; as in RFC 6298.
+# Weights of a new sample in the mean and in the deviation, and the number of deviations
+# above the mean that are still usual, as in RFC 6298.
 MEAN_WEIGHT: typing.Final = 1 / 8
 DEVIATION_WEIGHT: typing.Final = 1 / 4
 DEVIATIONS: typing.Final = 4
@@ -23,11 +24,11 @@
     """Smoothed answer times by service."""
 
     def __init__(self) -> None:
-        """Know no service."""
+        """Create an empty table."""
         self._estimates: dict[str, _Estimate] = {}
 
     def answered(self, service: str, answer_ms: float) -> None:
-        """Note how long a service took for an answer."""
+        """Record how long a service took for an answer."""
         known = self._estimates.get(service)
         if known is None:
             self._estimates[service] = _Estimate(answer_ms, answer_ms / 2)
@@ -40,13 +41,13 @@
         )
 
     def limit_ms(self, service: str) -> float | None:
-        """Return how long an answer may usually take; None when none was seen."""
+        """Return the longest usual answer time; None before the first answer."""
         known = self._estimates.get(service)
         if known is None:
             return None
         return known.mean_ms + DEVIATIONS * known.deviation_ms
 
     def keep(self, services: typing.Collection[str]) -> None:
-        """Forget all other services."""
+        """Delete the records of all other services."""
         for service in [item for item in self._estimates if item not in services]:
             del self._estimates[service]
