--- a/eelgrasswick/decisions/overload.py
+++ b/eelgrasswick/decisions/overload.py
@@ -62,7 +62,7 @@
 # Factor by which the lowest ratio rises with each further answer.
 MIN_RATIO_RISE: typing.Final = 1.005
 # Most bytes that a first acknowledgement covers, two full packets. One that covers more
-# follows another that was lost; measured by its length all counted would look short.
+# follows another that was lost; measured by its length all others would look short.
 MAX_FIRST_ACK_BYTES: typing.Final = 2400
 # Answers shorter than this share of the longest ones are refusals. The remembered
 # length decays by the second factor with each answer.
--- a/eelgrasswick/decisions/retry.py
+++ b/eelgrasswick/decisions/retry.py
@@ -23,9 +23,7 @@
 
     def earn(self) -> None:
         """Credit a new flow."""
-        self._credits = min(
-            BURST_MOVES * NEW_FLOWS_PER_MOVE, self._credits + 1
-        )
+        self._credits = min(BURST_MOVES * NEW_FLOWS_PER_MOVE, self._credits + 1)
 
     def spend(self) -> bool:
         """Take one move from the budget; return False when none is left."""
--- a/eelgrasswick/decisions/selector.py
+++ b/eelgrasswick/decisions/selector.py
@@ -1,7 +1,8 @@
-"""Chooses the target of a new flow from what this VM knows.
+"""Selection of the target of a new flow.
 
-It gathers what the decisions in ``choice`` need from the configuration, the
-health and load of targets and the view of the fleet.
+The selector collects the inputs of the decisions in ``choice`` from the configuration,
+the health and load of targets and the view of the fleet. It answers no load pattern of
+its own.
 """
 
 import typing
@@ -21,31 +22,32 @@
     tables,
 )
 
-LEARN_MS: typing.Final = 500
+# How often strengths and ramps are updated.
+UPDATE_INTERVAL_MS: typing.Final = 500
 
 
 class Selector:
-    """What a home asks for a target.
+    """Selects targets for the new flows of a home.
 
     Attributes:
-        chooser: What the home has learned, and its policy.
+        chooser: The home's observations of targets, and its policy.
     """
 
     def __init__(self, shared: tables.Tables, policy: placement.Placement) -> None:
-        """Choose by a policy."""
+        """Create a selector with a policy and no observations."""
         self.chooser = choice.Chooser(policy)
         self._tables = shared
-        self._learn_ms = 0
+        self._updated_ms = 0
 
     def tick(self, now_ms: int) -> None:
-        """Let flows grow old, and learn from time to time."""
+        """Record flows that are no longer young, and update strengths and ramps."""
         self.chooser.tick(now_ms)
-        if now_ms - self._learn_ms >= LEARN_MS:
-            self._learn_ms = now_ms
-            self._learn(now_ms)
+        if now_ms - self._updated_ms >= UPDATE_INTERVAL_MS:
+            self._updated_ms = now_ms
+            self._update(now_ms)
 
     def answered(self, now_ms: int, name: str, opening_ms: int) -> None:
-        """Note that a target has accepted a flow.
+        """Record that a target has accepted a flow.
 
         Args:
             now_ms: Present time in milliseconds.
@@ -67,9 +69,10 @@
         current = self._tables.epochs.current
         assert current is not None
         if key.protocol == packet.Protocol.UDP:
-            # A datagram can be repeated and reach two homes, as on the sides of
-            # a cut. Both must choose alike, or it would run twice; so nothing
-            # that one VM alone sees counts, neither load nor reach.
+            # A datagram can be repeated and reach two homes, as on the two sides of a
+            # cut. Both homes must choose the same target, or the datagram's request
+            # would run twice. So nothing that a single VM observes is used, neither
+            # load nor reachability.
             return choice.Choice(current.locate(key, owner).default, False)
         ranked = [
             item for item in current.ranked(key, owner) if item.name not in excluded
@@ -77,34 +80,35 @@
         ranked = self._reachable(ranked, current)
         suspected = [self._tables.health.suspected(now_ms, i.name) for i in ranked]
         usable = health.usable(suspected)
-        sights = [
-            self._sight(item, good) for item, good in zip(ranked, usable, strict=True)
+        candidates = [
+            self._candidate(item, ok) for item, ok in zip(ranked, usable, strict=True)
         ]
-        return self.chooser.choose(now_ms, sights)
+        return self.chooser.choose(now_ms, candidates)
 
     def _reachable(
         self, ranked: list[target.Target], current: epoch.Epoch
     ) -> list[target.Target]:
-        # A zone whose entry VMs are all out of reach is cut off or gone, and
-        # its targets with it. Flows sent there would hang until it heals. Left
-        # out before the panic share is worked out: a small zone that is cut
-        # off sees most targets as lost, and would send flows to all of them.
+        # A zone whose entry VMs are all unreachable is cut off or gone, and its targets
+        # with it. Flows that are sent there would hang until the zone is reachable
+        # again. Its targets are excluded before the panic threshold is applied: a small
+        # zone that is cut off finds most targets dead, and would otherwise send flows
+        # to all of them.
         peers = self._tables.peers
-        near = [
+        reachable = [
             item
             for item in ranked
             if item.zone in current.zones or not peers.zone_known(item.zone)
         ]
-        return near or ranked
+        return reachable or ranked
 
-    def _sight(self, item: target.Target, good: bool) -> choice.Candidate:
-        here = self._tables.flows.open_by_target[item.name]
-        everywhere = here + self._tables.loads.elsewhere(item.name)
-        free = everywhere < item.connections
+    def _candidate(self, item: target.Target, usable: bool) -> choice.Candidate:
+        open_here = self._tables.flows.open_by_target[item.name]
+        everywhere = open_here + self._tables.loads.elsewhere(item.name)
+        has_room = everywhere < item.connections
         recent = self._tables.loads.recent_elsewhere(item.name)
-        return choice.Candidate(item, everywhere, recent, good and free)
+        return choice.Candidate(item, everywhere, recent, usable and has_room)
 
-    def _learn(self, now_ms: int) -> None:
+    def _update(self, now_ms: int) -> None:
         current = self._tables.epochs.current
         if current is None:
             return
