--- a/eelgrasswick/errors.py
+++ b/eelgrasswick/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, the answer to each, and the exceptions."""
+"""The closed list of error kinds, how each is handled, and the exceptions."""
 
 import enum
 import typing
@@ -34,7 +34,7 @@
 
 
 class Reply(enum.Enum):
-    """What the party that caused an error is sent."""
+    """What is sent to the party that caused an error."""
 
     REFUSE = "refuse"
     DROP = "drop"
@@ -42,13 +42,13 @@
 
 
 class ErrorHandling(typing.NamedTuple):
-    """How one error kind is answered.
+    """How one error kind is handled.
 
     Attributes:
-        reply: What goes back on the wire, or that a command exits.
-        not_run: True when the answer asserts that no target saw the request.
+        reply: What is sent on the wire, or that a command exits.
+        not_run: True when the reply asserts that no target received the request.
         exit_code: Process exit code of a command that ends with this kind.
-        remedy: One sentence that tells the reader what to do.
+        remedy: One sentence that says what the reader should do.
     """
 
     reply: Reply
@@ -141,24 +141,24 @@
     """Base of all errors raised by this package.
 
     Attributes:
-        kind: The entry of the closed list.
+        kind: The error kind of the exception class.
     """
 
     kind: ErrorKind
 
     def __init__(self, detail: str) -> None:
-        """Keep the human-readable detail."""
+        """Store the human-readable detail."""
         super().__init__(detail)
         self.detail = detail
 
     @property
     def handling(self) -> ErrorHandling:
-        """The answer the table gives for this kind."""
+        """The handling that is defined for this kind."""
         return ERROR_HANDLING[self.kind]
 
 
 class PacketError(EelgrasswickError):
-    """A datagram is not a packet we balance."""
+    """A datagram is not a packet that the load balancer forwards."""
 
 
 class PacketMalformedError(PacketError):
@@ -168,25 +168,25 @@
 
 
 class PacketUnsupportedError(PacketError):
-    """The packet is well formed but of a sort that is not balanced."""
+    """The packet is well formed but its type is not load-balanced."""
 
     kind = ErrorKind.PACKET_UNSUPPORTED
 
 
 class MessageInvalidError(EelgrasswickError):
-    """A peer's message has an unknown shape."""
+    """A peer's message has an unknown format."""
 
     kind = ErrorKind.MESSAGE_INVALID
 
 
 class RulesInvalidError(EelgrasswickError):
-    """The rules text has faults; they are listed in the detail."""
+    """The rules text has faults, which the detail lists."""
 
     kind = ErrorKind.RULES_INVALID
 
 
 class SettingsInvalidError(EelgrasswickError):
-    """The settings file has faults; they are listed in the detail."""
+    """The settings file has faults, which the detail lists."""
 
     kind = ErrorKind.SETTINGS_INVALID
 
@@ -204,13 +204,13 @@
 
 
 class HistoryGoneError(StoreError):
-    """The store has forgotten the changes that were asked for."""
+    """The store has deleted the requested revisions."""
 
     kind = ErrorKind.HISTORY_GONE
 
 
 class EntryInvalidError(EelgrasswickError):
-    """A row of the store is not the configuration or target it should be."""
+    """A row of the store is not a valid configuration, evacuation or target."""
 
     kind = ErrorKind.ENTRY_INVALID
 
@@ -222,12 +222,12 @@
 
 
 class ChangeUnknownError(EelgrasswickError):
-    """The store's answer was lost and its state can't be read."""
+    """The store's response was lost and its state can't be read."""
 
     kind = ErrorKind.CHANGE_UNKNOWN
 
 
 class VmSilentError(EelgrasswickError):
-    """No entry VM answered an operator's question."""
+    """No entry VM answered an operator's request."""
 
     kind = ErrorKind.VM_SILENT
--- a/eelgrasswick/ini.py
+++ b/eelgrasswick/ini.py
@@ -1,4 +1,4 @@
-"""INI settings that are checked whole, so that one start shows every fault."""
+"""INI settings whose entries are all checked, so that one start reports every fault."""
 
 import configparser
 import ipaddress
@@ -17,8 +17,8 @@
     Attributes:
         section: INI section.
         key: INI key.
-        meaning: What it is, with its unit.
-        read: Turns the text into a value; raises ValueError.
+        meaning: What the entry is, with its unit.
+        read: Converts the text to a value; raises ValueError.
         default: Text used when the key is absent; None when it is required.
     """
 
@@ -30,10 +30,10 @@
 
 
 def name(text: str) -> str:
-    """Check a name of a VM, zone or the like.
+    """Return a name of a VM, zone or similar after a check.
 
     Raises:
-        ValueError: It has other characters or is too long.
+        ValueError: The name has other characters or is too long.
     """
     if not _NAME.fullmatch(text):
         raise ValueError("use a-z, 0-9, dot, dash and underscore, at most 63")
@@ -41,16 +41,16 @@
 
 
 def ip(text: str) -> str:
-    """Check an IPv4 address.
+    """Return an IPv4 address after a check.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The text is no IPv4 address.
     """
     return str(ipaddress.IPv4Address(text))
 
 
 def integer(low: int, high: int) -> typing.Callable[[str], int]:
-    """Return a reader of whole numbers between two bounds."""
+    """Return a converter to whole numbers between two inclusive bounds."""
 
     def read_integer(text: str) -> int:
         value = int(text)
@@ -62,15 +62,15 @@
 
 
 def items(text: str) -> list[str]:
-    """Return the parts of a list that is separated by commas."""
+    """Return the parts of a comma-separated list."""
     return [item.strip() for item in text.split(",") if item.strip()]
 
 
 def text(path: pathlib.Path) -> str:
-    """Return a settings file's text.
+    """Return the text of a settings file.
 
     Raises:
-        errors.SettingsInvalidError: It can't be read.
+        errors.SettingsInvalidError: The file can't be read.
     """
     try:
         return path.read_text()
@@ -81,20 +81,21 @@
 def read(
     content: str, entries: typing.Sequence[Entry]
 ) -> dict[str, dict[str, typing.Any]]:
-    """Check a settings text.
+    """Return the values of a settings text after a check.
 
     Args:
-        content: The whole file.
-        entries: What it may hold.
+        content: The whole text of the file.
+        entries: The entries that the file may hold.
 
     Returns:
         The values by section and key.
 
     Raises:
-        errors.SettingsInvalidError: The detail names every fault, one a line.
+        errors.SettingsInvalidError: The detail lists every fault, one per line.
     """
     parser = configparser.ConfigParser(
-        # Keys under [DEFAULT] would count for all sections without being named.
+        # Without this setting, keys under [DEFAULT] would apply to all sections,
+        # including sections that do not list them.
         interpolation=None,
         default_section="",
     )
@@ -102,7 +103,7 @@
         parser.read_string(content)
     except configparser.Error as error:
         raise errors.SettingsInvalidError(str(error)) from error
-    faults = _unknown(parser, entries)
+    faults = _unknown_entries(parser, entries)
     values: dict[str, dict[str, typing.Any]] = {}
     for entry in entries:
         section = values.setdefault(entry.section, {})
@@ -112,7 +113,7 @@
     return values
 
 
-def _unknown(
+def _unknown_entries(
     parser: configparser.ConfigParser, entries: typing.Sequence[Entry]
 ) -> list[str]:
     known = {(entry.section, entry.key) for entry in entries}
--- a/eelgrasswick/log_line.py
+++ b/eelgrasswick/log_line.py
@@ -1,4 +1,4 @@
-"""Log lines of key=value pairs, and a bound on how many are written."""
+"""Log lines of key=value pairs, and a limit on how many are written."""
 
 import collections
 import datetime
@@ -6,7 +6,7 @@
 import re
 import typing
 
-_PLAIN: typing.Final = re.compile(r"[^\s=\"]+")
+_UNQUOTED: typing.Final = re.compile(r"[^\s=\"]+")
 
 
 def render(at_s: float, event: str, fields: typing.Mapping[str, object]) -> str:
@@ -14,11 +14,11 @@
 
     Args:
         at_s: Unix time of the event in seconds.
-        event: Its sort.
-        fields: What is known of it.
+        event: Name of the event.
+        fields: Fields of the event by name.
 
     Returns:
-        The line, without a line end; ``at`` and ``event`` come first.
+        The line, without a line end; ``at`` and ``event`` are the first fields.
     """
     at = datetime.datetime.fromtimestamp(at_s, datetime.UTC)
     parts = [f"at={at.isoformat(timespec='milliseconds')}", f"event={quote(event)}"]
@@ -27,48 +27,48 @@
 
 
 def quote(value: object) -> str:
-    """Return a value as it stands in a line."""
+    """Return a value as text, quoted when it is not a plain word."""
     text = str(value)
-    if _PLAIN.fullmatch(text):
+    if _UNQUOTED.fullmatch(text):
         return text
     return json.dumps(text)
 
 
 class SuppressedLines(typing.NamedTuple):
-    """How many lines of a sort were not written in a second."""
+    """How many lines of one event were suppressed in a second."""
 
-    sort: str
+    event: str
     lines: int
 
 
 class LineRateLimiter:
-    """Lets through a number of lines of each sort a second.
+    """Limits the lines of each event a second.
 
-    Anyone can send corrupt datagrams. A line for each would fill the disk of
-    whoever collects the logs, and cost the time that packets need.
+    Anyone can send corrupt datagrams. A log line for each would fill the disk of the
+    system that collects the logs, and take processor time that packets need.
     """
 
     def __init__(self, per_s: int) -> None:
-        """Let ``per_s`` lines of a sort through each second."""
+        """Create a limiter to ``per_s`` lines of each event a second."""
         self._per_s = per_s
-        self._second = 0
+        self._current_second = 0
         self._counts: collections.Counter[str] = collections.Counter()
 
     def next_second(self, now_ms: int) -> list[SuppressedLines]:
-        """Return what was left out, when a new second has begun."""
+        """Return the suppressed lines of the last second when a new one has begun."""
         second = now_ms // 1000
-        if second == self._second:
+        if second == self._current_second:
             return []
-        self._second = second
+        self._current_second = second
         left_out = [
-            SuppressedLines(sort, count - self._per_s)
-            for sort, count in self._counts.items()
+            SuppressedLines(event, count - self._per_s)
+            for event, count in self._counts.items()
             if count > self._per_s
         ]
         self._counts.clear()
         return left_out
 
-    def allows(self, sort: str) -> bool:
-        """Count a line of a sort; False when it is to be left out."""
-        self._counts[sort] += 1
-        return self._counts[sort] <= self._per_s
+    def allows(self, event: str) -> bool:
+        """Count a line of an event; return whether it may be written."""
+        self._counts[event] += 1
+        return self._counts[event] <= self._per_s
--- a/eelgrasswick/platform/__init__.py
+++ b/eelgrasswick/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Translation between the users' platform and the product.
+"""Translation between the users' platform and the load balancer.
 
-Nothing outside this folder knows the platform's names, and nothing in it
-decides anything.
+Names and formats of the platform occur in this package only. The package makes no
+load-balancing decisions.
 """
--- a/eelgrasswick/platform/__main__.py
+++ b/eelgrasswick/platform/__main__.py
@@ -1,8 +1,8 @@
 """Starts the program that runs on the users' platform.
 
-The socket for callers' packets is bound first of all. After a loss of power of all
-VMs the routers send packets at once, and those that find no socket are lost. Their
-callers would wait for a retransmission 0.6 s later or more, beyond many deadlines.
+The socket for callers' packets is bound first of all. After a power loss of all VMs the
+routers send packets at once, and packets that find no socket are lost. Their callers
+would wait for a retransmission after 0.6 s or more, beyond many deadlines.
 """
 
 import importlib
@@ -16,28 +16,29 @@
 from eelgrasswick.cookie import clock
 from eelgrasswick.platform import names, settings_file
 
-_USAGE: typing.Final = 2
+_USAGE_EXIT_CODE: typing.Final = 2
 
 
 def main() -> None:
-    """Bind the socket, carry packets while the rest is imported, then run it."""
+    """Bind the socket, forward packets during the imports, then run the VM."""
     path = pathlib.Path(os.environ.get(names.SETTINGS_VARIABLE, ""))
     try:
         file = settings_file.SettingsFile(path)
     except errors.SettingsInvalidError as error:
         print(f"{error.kind.value}: {error.detail}", file=sys.stderr)
-        raise SystemExit(_USAGE) from error
-    waiting = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    waiting.setblocking(False)
-    waiting.bind(file.settings.vm.data)
+        raise SystemExit(_USAGE_EXIT_CODE) from error
+    data_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    data_socket.setblocking(False)
+    data_socket.bind(file.settings.vm.data)
     bound_ms = clock.now_ms()
-    _run(file, waiting, bound_ms)
+    _run(file, data_socket, bound_ms)
 
 
 def _run(
-    file: settings_file.SettingsFile, waiting: socket.socket, bound_ms: int
+    file: settings_file.SettingsFile, data_socket: socket.socket, bound_ms: int
 ) -> None:
-    # Imported only now, as the socket must not wait for them.
+    # These modules are imported after the socket is bound, because the binding must not
+    # wait for their import.
     from eelgrasswick.cookie import carrying, model
     from eelgrasswick.platform import early, entries, segments
 
@@ -50,10 +51,10 @@
         for host in file.settings.fleet.seeds
         if host != vm.peer.host
     ]
-    starting = early.StartupForwarder(carrier, waiting, bound_ms, seeds)
-    starting.run(file.settings.store.address)
+    forwarder = early.StartupForwarder(carrier, data_socket, bound_ms, seeds)
+    forwarder.run(file.settings.store.address)
     program: typing.Any = importlib.import_module("eelgrasswick.platform.program")
-    program.run(file, carrier, waiting, bound_ms, starting.members)
+    program.run(file, carrier, data_socket, bound_ms, forwarder.members)
 
 
 main()
--- a/eelgrasswick/platform/answers.py
+++ b/eelgrasswick/platform/answers.py
@@ -1,4 +1,4 @@
-"""Answers of the platform's store, decoded once for all that call it."""
+"""Decoding of the platform store's responses, for all modules that call it."""
 
 import base64
 import json
@@ -12,46 +12,46 @@
 from eelgrasswick.platform import names
 
 MAX_BODY_BYTES: typing.Final = 16_000_000
-_OK: typing.Final = 200
-_GONE: typing.Final = 410
+_HTTP_OK: typing.Final = 200
+_HTTP_GONE: typing.Final = 410
 DECODE_ERRORS: typing.Final = (ValueError, TypeError, LookupError)
 Body = dict[str, typing.Any]
 
 
 class HttpResponse(typing.NamedTuple):
-    """An HTTP answer: its status and body."""
+    """An HTTP response: its status and body."""
 
     status: int
     body: bytes
 
 
 class Listing:
-    """All rows of the store, page by page.
+    """All rows of the store, read page by page.
 
     Attributes:
-        query: What to ask for next; None when all pages are read.
+        query: Query of the next page; None when all pages are read.
     """
 
     def __init__(self) -> None:
-        """Begin with the first page."""
+        """Start with the query of the first page."""
         self.query: dict[str, str] | None = {"prefix": ""}
         self._rows: list[source.Row] = []
         self._revision = 0
 
     def add(self, body: Body) -> None:
-        """Take a page.
+        """Append a page.
 
         Raises:
-            errors.StoreError: It holds something else.
+            errors.StoreError: The body is no page of rows.
         """
         try:
             page = [row(item) for item in body["items"]]
-            # Pages are no snapshot. What changes after the first one is asked for
-            # again from its revision.
+            # Pages are not one snapshot. Changes after the first page are read again
+            # from the revision of the first page.
             self._revision = self._revision or whole_number(body["store_revision"])
             more = bool(body["has_more"])
-        except DECODE_ERRORS as fault:
-            raise errors.StoreError(f"{names.RANGE_PATH}: {fault!r}") from fault
+        except DECODE_ERRORS as error:
+            raise errors.StoreError(f"{names.RANGE_PATH}: {error!r}") from error
         self._rows += page
         last = {"prefix": "", "after": page[-1].key} if page else None
         self.query = last if more else None
@@ -62,49 +62,49 @@
 
 
 def request_target(path: str, query: dict[str, str]) -> str:
-    """Return what a call asks for: its path and query."""
+    """Return the request target of a call: its path and query."""
     return f"{path}?{urllib.parse.urlencode(query)}"
 
 
-def encode_request(http: h11.Connection, host: str, asked: str) -> bytes:
-    """Return a call's bytes."""
-    head = h11.Request(method="GET", target=asked, headers=[("Host", host)])
+def encode_request(http: h11.Connection, host: str, target: str) -> bytes:
+    """Return the bytes of a GET request."""
+    head = h11.Request(method="GET", target=target, headers=[("Host", host)])
     return (http.send(head) or b"") + (http.send(h11.EndOfMessage()) or b"")
 
 
-def decode_body(name: str, answer: HttpResponse) -> Body:
-    """Return the body of an answer.
+def decode_body(name: str, response: HttpResponse) -> Body:
+    """Return the JSON body of a response.
 
     Raises:
-        errors.HistoryGoneError: The store has forgotten what was asked for.
-        errors.StoreError: It refuses, or its answer can't be read.
+        errors.HistoryGoneError: The store has deleted the requested revisions.
+        errors.StoreError: The store refuses the call, or its response can't be decoded.
     """
-    if answer.status == _GONE:
+    if response.status == _HTTP_GONE:
         raise errors.HistoryGoneError(f"{name}: history gone")
-    if answer.status != _OK:
-        raise errors.StoreError(f"{name}: HTTP status {answer.status}")
+    if response.status != _HTTP_OK:
+        raise errors.StoreError(f"{name}: HTTP status {response.status}")
     try:
-        body = json.loads(answer.body)
-    except ValueError as fault:
-        raise errors.StoreError(f"{name}: {fault}") from fault
+        body = json.loads(response.body)
+    except ValueError as error:
+        raise errors.StoreError(f"{name}: {error}") from error
     if not isinstance(body, dict):
-        raise errors.StoreError(f"{name}: the body is no object")
+        raise errors.StoreError(f"{name}: the body is not a JSON object")
     return body
 
 
 def row(item: Body) -> source.Row:
-    """Return the row that an item or event stands for."""
+    """Return the row of a listed item or a watch event."""
     value = None
     if not item.get("deleted"):
         value = base64.b64decode(item["value"], validate=True)
     key = item["key"]
     if not isinstance(key, str):
-        raise TypeError("a key is no text")
+        raise TypeError("a key is not a string")
     return source.Row(key, value, whole_number(item["revision"]))
 
 
 def whole_number(value: object) -> int:
-    """Return a value that must be a whole number."""
+    """Return a value after checking that it is a whole number."""
     if isinstance(value, bool) or not isinstance(value, int):
-        raise TypeError(f"{value!r} is no whole number")
+        raise TypeError(f"{value!r} is not a whole number")
     return value
--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -1,15 +1,15 @@
-"""Carries callers' packets while the libraries are imported.
-
-Their import takes 0.2 s of a core, and more on a small one. After a loss of power of
-all VMs callers find nobody meanwhile, and requests with deadlines below a second are
-late or lost. What decides about packets needs none of these libraries; so it is
-imported first, the store is asked for all rows, and the libraries are imported part
-by part, with the packets that came meanwhile carried after each. A VM that starts
-while others serve asks one of them first, which spares the store a listing and tells
-of the other VMs, too.
-
-A thread for the import would carry them sooner still, but a VM's threads may take
-turns of a tenth of a second.
+"""Forwards callers' packets while the libraries are imported.
+
+The import takes 0.2 s of a core, and more on a small one. After a power loss of all VMs
+no VM would serve callers in that time, and requests with deadlines below a second would
+be late or lost. The modules that decide about packets need none of these libraries, so
+they are imported first. Then the store is asked for all rows, and the libraries are
+imported one by one; after each import the packets that arrived during it are forwarded.
+A VM that starts while others serve asks one of them first, which saves the store a
+listing and also returns the other VMs.
+
+An import in a thread would forward packets sooner, but the threads of a VM may
+alternate in turns of a tenth of a second.
 """
 
 import importlib
@@ -34,14 +34,14 @@
 if typing.TYPE_CHECKING:
     from eelgrasswick.cookie import peers
 
-# How long the start waits for the store before the libraries are imported, while no
-# bytes come and in all. A store that answers at once has then told all rows.
-IDLE_S: typing.Final = 0.03
-FIRST_S: typing.Final = 0.1
-# Without bytes for so long, and with all libraries imported, the start goes on without
-# the store and hears from other VMs.
+# How long the start waits for the store before the libraries are imported: while no
+# bytes arrive, and in total. A store that answers at once has sent all rows by then.
+FIRST_IDLE_S: typing.Final = 0.03
+FIRST_READ_S: typing.Final = 0.1
+# When no bytes arrive for this time and all libraries are imported, the start continues
+# without the store, and the VM receives the rows from other VMs.
 STALL_S: typing.Final = 0.5
-# The libraries in an order in which none brings in much more than itself.
+# Libraries in an order in which none imports many modules besides itself.
 LIBRARIES: typing.Final = (
     "random",
     "asyncio",
@@ -61,62 +61,63 @@
     "twisted.internet.endpoints",
     "cbor2",
 )
-# A listing that comes on may take so many times as long.
+# A listing that makes progress may take this many times as long as ``STALL_S``.
 MAX_STALLS: typing.Final = 4
-# Packets between two imports at most, or a flood of them would put off the start.
+# Most packets that are forwarded between two imports. Without this limit a flood of
+# packets would delay the start.
 MAX_PACKETS_PER_IMPORT: typing.Final = 500
 _CHUNK_BYTES: typing.Final = 65_536
 _ORIGIN: typing.Final = "store"
 
 
 class StartupForwarder:
-    """Carries packets by a bound socket until the reactor can."""
+    """Forwards packets from a bound socket until the reactor runs."""
 
     def __init__(
         self,
         carrier: carrying.Carrier,
-        waiting: socket.socket,
+        data_socket: socket.socket,
         bound_ms: int,
         seeds: typing.Sequence[model.Address] = (),
     ) -> None:
-        """Carry the packets that wait in a socket.
+        """Create a forwarder of the packets that wait in a socket.
 
         Args:
-            carrier: Decides about them.
-            waiting: The socket; it does not block.
-            bound_ms: When it was bound.
-            seeds: Other VMs, where they answer those that lack rows.
+            carrier: Decides about the packets.
+            data_socket: The bound socket; it is non-blocking.
+            bound_ms: When the socket was bound, in milliseconds.
+            seeds: Addresses at which other VMs answer VMs that lack rows.
         """
         self.members: tuple[peers.Member, ...] = ()
         self._seeds = seeds
-        self._reading: listing.ListingReader | None = None
+        self._reader: listing.ListingReader | None = None
         self._carrier = carrier
-        self._socket = waiting
+        self._data_socket = data_socket
         self._bound_ms = bound_ms
 
     def run(self, store: model.Address) -> None:
-        """Learn all rows, import the libraries, and carry packets meanwhile."""
-        if not self._learn_from_peer():
-            self._reading = listing.ListingReader(store)
-            self._read(IDLE_S, FIRST_S)
-        self._take_all()
+        """Read all rows, import the libraries, and forward packets meanwhile."""
+        if not self._fetch_from_peer():
+            self._reader = listing.ListingReader(store)
+            self._read(FIRST_IDLE_S, FIRST_READ_S)
+        self._forward_waiting()
         for name in LIBRARIES:
             importlib.import_module(name)
             self._read(0.0, 0.0)
-            self._take_all()
+            self._forward_waiting()
         if not self._carrier.began:
             self._read(STALL_S, STALL_S * MAX_STALLS)
-            self._take_all()
-        if self._reading is not None:
-            self._give_up("no answer in time")
+            self._forward_waiting()
+        if self._reader is not None:
+            self._give_up("no response from the store in time")
 
-    def _learn_from_peer(self) -> bool:
+    def _fetch_from_peer(self) -> bool:
         answer = bootstrap.ask(self._seeds, self._carrier.parts.log)
         if answer is None:
             return False
-        known = self._carrier.parts.knowledge
+        local_rows = self._carrier.parts.knowledge
         now_ms = clock.now_ms()
-        merge = answer.offer.learn(now_ms, answer.asked_ms, known)
+        merge = answer.offer.learn(now_ms, answer.asked_ms, local_rows)
         self._carrier.learned(now_ms, merge, answer.host)
         self.members = answer.offer.standing.members
         self._carrier.parts.log.write(
@@ -124,51 +125,51 @@
             peer=answer.host,
             took_ms=now_ms - answer.asked_ms,
             members=len(self.members),
-            revision=known.revision,
-            age_ms=knowledge.shown_ms(known.age_ms(now_ms)),
+            revision=local_rows.revision,
+            age_ms=knowledge.shown_ms(local_rows.age_ms(now_ms)),
         )
-        # What an outage of the store has made old is better than nothing, but the
-        # store may be back by now.
-        return known.age_ms(now_ms) <= steering.SURE_MS
+        # Rows that are old because of an outage of the store are better than none, but
+        # the store may be available again by now.
+        return local_rows.age_ms(now_ms) <= steering.SURE_MS
 
     def _read(self, idle_s: float, total_s: float) -> None:
-        """Read on in the listing, if it has not come to its end.
+        """Continue to read the listing, if it is not complete.
 
         Args:
-            idle_s: How long to wait when no bytes come.
-            total_s: How long to wait in all.
+            idle_s: How long to wait when no bytes arrive.
+            total_s: How long to wait in total.
         """
         end_s = time.monotonic() + total_s
-        while self._reading is not None:
-            before_s = self._reading.progress_s
+        while self._reader is not None:
+            before_s = self._reader.progress_s
             wait_s = min(before_s + idle_s, end_s) - time.monotonic()
             try:
-                changes = self._reading.read(max(0.0, wait_s))
-            except (errors.EelgrasswickError, OSError, h11.ProtocolError) as fault:
-                self._give_up(f"{type(fault).__name__}: {fault}")
+                changes = self._reader.read(max(0.0, wait_s))
+            except (errors.EelgrasswickError, OSError, h11.ProtocolError) as error:
+                self._give_up(f"{type(error).__name__}: {error}")
                 return
             if changes is not None:
-                self._learn(changes, self._reading.asked_ms)
-                self._end_reading()
-            elif wait_s <= 0 and self._reading.progress_s == before_s:
+                self._merge(changes, self._reader.asked_ms)
+                self._close_reader()
+            elif wait_s <= 0 and self._reader.progress_s == before_s:
                 return
 
-    def _learn(self, changes: source.Changes, asked_ms: int) -> None:
-        known = self._carrier.parts.knowledge
+    def _merge(self, changes: source.Changes, asked_ms: int) -> None:
+        local_rows = self._carrier.parts.knowledge
         now_ms = clock.now_ms()
-        self._carrier.learned(now_ms, known.merge(now_ms, changes), _ORIGIN)
-        known.confirm(changes.revision, asked_ms)
+        self._carrier.learned(now_ms, local_rows.merge(now_ms, changes), _ORIGIN)
+        local_rows.confirm(changes.revision, asked_ms)
 
     def _give_up(self, detail: str) -> None:
         self._carrier.parts.log.write("early_read_failed", detail=detail)
-        self._end_reading()
+        self._close_reader()
 
-    def _end_reading(self) -> None:
-        if self._reading is not None:
-            self._reading.close()
-        self._reading = None
+    def _close_reader(self) -> None:
+        if self._reader is not None:
+            self._reader.close()
+        self._reader = None
 
-    def _take_all(self) -> None:
+    def _forward_waiting(self) -> None:
         if not self._carrier.parts.catalog.ready:
             return
         if not self._carrier.began:
@@ -176,7 +177,7 @@
             self._carrier.begin(clock.now_ms() - self._bound_ms)
         for _ in range(MAX_PACKETS_PER_IMPORT):
             try:
-                raw, address = self._socket.recvfrom(_CHUNK_BYTES)
+                raw, address = self._data_socket.recvfrom(_CHUNK_BYTES)
             except BlockingIOError:
                 break
             self._carrier.take(raw, address[0])
@@ -184,9 +185,9 @@
 
     def _send(self, datagram: bytes, address: model.Address) -> None:
         try:
-            self._socket.sendto(datagram, address)
+            self._data_socket.sendto(datagram, address)
         except OSError as failure:
-            # It is lost, like any other; its sender sends it again.
+            # The datagram is lost like any other, and its sender retransmits it.
             self._carrier.parts.stats.counts["datagrams_unsent"] += 1
             self._carrier.parts.log.write(
                 "datagram_unsent", to=address.host, detail=str(failure)
--- a/eelgrasswick/platform/listing.py
+++ b/eelgrasswick/platform/listing.py
@@ -1,8 +1,8 @@
-"""All rows of the platform's store, read without an event loop or a wait.
+"""Non-blocking listing of all rows of the platform's store.
 
-Answers the load of hundreds of VMs that start together after a loss of power. Their
-listings fill the store's link, so that each takes several times as long as one alone;
-the time is used for other work, and a listing that comes on is not given up.
+Load pattern: hundreds of VMs that start together after a power loss. Their listings
+fill the store's link, so that each takes several times as long as a single one. The VM
+uses the time for other work, and does not give up a listing that makes progress.
 """
 
 import select
@@ -20,15 +20,15 @@
 
 
 class ListingReader:
-    """A listing that is under way.
+    """A listing in progress.
 
     Attributes:
-        asked_ms: When it was asked for; the age of its rows counts from then.
-        progress_s: When it last got on; monotonic time.
+        asked_ms: When the listing was requested; the age of its rows counts from then.
+        progress_s: When it last made progress, in monotonic seconds.
     """
 
     def __init__(self, store: model.Address) -> None:
-        """Begin to connect to the store."""
+        """Start to connect to the store."""
         self.asked_ms = clock.now_ms()
         self.progress_s = time.monotonic()
         self._host = f"{store.host}:{store.port}"
@@ -36,7 +36,7 @@
         self._http = h11.Connection(h11.CLIENT, answers.MAX_BODY_BYTES)
         self._status = 0
         self._parts: list[bytes] = []
-        self._asked = False
+        self._requested = False
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setblocking(False)
         self._socket.connect_ex(store)
@@ -46,51 +46,54 @@
         self._socket.close()
 
     def read(self, wait_s: float) -> source.Changes | None:
-        """Take what has come.
+        """Process the bytes that have arrived.
 
         Args:
-            wait_s: How long to wait for something.
+            wait_s: How long to wait for bytes, in seconds.
 
         Returns:
-            All rows once the last page is there, None before.
+            All rows once the last page has arrived, None before.
 
         Raises:
-            errors.StoreError: The store refuses, or its answer can't be read.
+            errors.StoreError: The store refuses the call, or its response can't be
+                decoded.
             OSError: The connection failed.
         """
-        if not self._wait(wait_s):
+        if not self._ready(wait_s):
             return None
-        if not self._asked:
-            self._ask()
+        if not self._requested:
+            self._send_first()
             return None
         chunk = self._socket.recv(_CHUNK_BYTES)
         if not chunk:
             raise errors.StoreError("the store closed the connection")
         self.progress_s = time.monotonic()
         self._http.receive_data(chunk)
-        self._events()
+        self._handle_events()
         return self._listing.changes() if self._listing.query is None else None
 
-    def _wait(self, wait_s: float) -> bool:
-        waiting = select.poll()
-        waiting.register(self._socket, select.POLLIN if self._asked else select.POLLOUT)
-        return bool(waiting.poll(1000 * wait_s))
-
-    def _ask(self) -> None:
-        fault = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if fault:
-            raise OSError(fault, "connect")
-        self._asked = True
+    def _ready(self, wait_s: float) -> bool:
+        poll = select.poll()
+        poll.register(
+            self._socket, select.POLLIN if self._requested else select.POLLOUT
+        )
+        return bool(poll.poll(1000 * wait_s))
+
+    def _send_first(self) -> None:
+        error = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error:
+            raise OSError(error, "connect")
+        self._requested = True
         self.progress_s = time.monotonic()
         self._send_next()
 
     def _send_next(self) -> None:
         if self._listing.query is None:
             return
-        asked = answers.request_target(names.RANGE_PATH, self._listing.query)
-        self._socket.sendall(answers.encode_request(self._http, self._host, asked))
+        target = answers.request_target(names.RANGE_PATH, self._listing.query)
+        self._socket.sendall(answers.encode_request(self._http, self._host, target))
 
-    def _events(self) -> None:
+    def _handle_events(self) -> None:
         while True:
             event = self._http.next_event()
             if event in (h11.NEED_DATA, h11.PAUSED):
@@ -100,16 +103,16 @@
             elif isinstance(event, h11.Data):
                 self._parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                self._page()
+                self._add_page()
                 return
             else:
                 raise errors.StoreError("the store closed the connection")
 
-    def _page(self) -> None:
+    def _add_page(self) -> None:
         body = b"".join(self._parts)
         self._parts = []
-        answer = answers.HttpResponse(self._status, body)
-        self._listing.add(answers.decode_body(names.RANGE_PATH, answer))
+        response = answers.HttpResponse(self._status, body)
+        self._listing.add(answers.decode_body(names.RANGE_PATH, response))
         if self._listing.query is None:
             return
         self._http.start_next_cycle()
--- a/eelgrasswick/platform/names.py
+++ b/eelgrasswick/platform/names.py
@@ -1,6 +1,6 @@
-"""Names of the users' platform that more than one program spells.
+"""Names of the users' platform that more than one program uses.
 
-The stand-ins of the soak use them too, so that each name stands once.
+The stand-ins of the soak test use them too, so that each name is defined once.
 """
 
 import typing
--- a/eelgrasswick/platform/program.py
+++ b/eelgrasswick/platform/program.py
@@ -12,7 +12,8 @@
 from eelgrasswick.cookie import carrying, entry, peers
 from eelgrasswick.platform import names, settings_file, store
 
-# How often the settings file is looked at; it may change without a signal.
+# How often the settings file is checked for changes. It may change without a signal to
+# the process.
 SETTINGS_POLL_S: typing.Final = 1.0
 
 
@@ -23,7 +24,7 @@
         vm.refuse_settings(error)
 
 
-def _look(file: settings_file.SettingsFile, vm: entry.EntryVm) -> None:
+def _reload_if_changed(file: settings_file.SettingsFile, vm: entry.EntryVm) -> None:
     try:
         if file.changed():
             _reload(file, vm)
@@ -34,28 +35,28 @@
 def run(
     file: settings_file.SettingsFile,
     carrier: carrying.Carrier,
-    waiting: socket.socket,
+    data_socket: socket.socket,
     bound_ms: int,
     members: tuple[peers.Member, ...],
 ) -> None:
     """Run an entry VM until SIGTERM.
 
     Args:
-        file: Its settings, read already.
+        file: The settings file, which was already read.
         carrier: Decides about callers' packets.
-        waiting: The bound socket that callers' packets wait in.
-        bound_ms: When it was bound.
-        members: The other VMs, if one of them has told of all already.
+        data_socket: The bound socket in which callers' packets wait.
+        bound_ms: When the socket was bound, in milliseconds.
+        members: The other VMs, if a peer has already sent them.
     """
-    # Installed before anything imports the default reactor, which would bring
-    # in TLS and several megabytes that an entry VM does not use.
+    # The reactor is installed before any import of the default reactor, which would
+    # load TLS and several megabytes that an entry VM does not use.
     epollreactor.install()
     reactor: typing.Any = sys.modules["twisted.internet.reactor"]
     parts = entry.Parts(
         carrier,
         store.Store(reactor, file.settings.store.address),
         names.READY_PATH,
-        waiting,
+        data_socket,
         bound_ms,
         members,
     )
@@ -63,6 +64,6 @@
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(vm.stop))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(_reload, file, vm))
     reactor.callWhenRunning(vm.start)
-    looking = task.LoopingCall(_look, file, vm)
-    reactor.callWhenRunning(looking.start, SETTINGS_POLL_S, now=False)
+    poll = task.LoopingCall(_reload_if_changed, file, vm)
+    reactor.callWhenRunning(poll.start, SETTINGS_POLL_S, now=False)
     reactor.run(installSignalHandlers=False)
--- a/eelgrasswick/platform/settings_file.py
+++ b/eelgrasswick/platform/settings_file.py
@@ -7,10 +7,10 @@
 
 
 class SettingsFile:
-    """The settings file, read again when it changes.
+    """A settings file that can be read again when it changes.
 
     Attributes:
-        settings: What it last held.
+        settings: The settings of the last successful read.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
@@ -34,5 +34,5 @@
         return self.settings
 
     def changed(self) -> bool:
-        """Tell whether the file holds something else than was last read."""
+        """Return whether the file differs from the text that was last read."""
         return ini.text(self._path) != self._text
--- a/eelgrasswick/platform/store.py
+++ b/eelgrasswick/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP/1.1, as the product reads it."""
+"""Client of the platform's store over HTTP/1.1."""
 
 import typing
 
@@ -9,48 +9,48 @@
 from eelgrasswick.cookie import model, source
 from eelgrasswick.platform import answers, names
 
-# The store answers in about 4 ms, and in 0.25 s when it is slow (60 times).
+# The store answers in about 4 ms, and in 0.25 s when it is 60 times as slow.
 ANSWER_TIMEOUT_MS: typing.Final = 700
 CONNECT_TIMEOUT_MS: typing.Final = 500
 
 
 class _Connection(protocol.Protocol):
-    """One connection to the store, one call at a time."""
+    """One connection to the store, with one call at a time."""
 
     def __init__(self, host: str) -> None:
         self._host = host
         self._http = h11.Connection(h11.CLIENT, answers.MAX_BODY_BYTES)
-        self._waiting: defer.Deferred[answers.HttpResponse] | None = None
+        self._pending: defer.Deferred[answers.HttpResponse] | None = None
         self._status = 0
         self._parts: list[bytes] = []
         self.open = True
 
     def call(self, path: str) -> "defer.Deferred[answers.HttpResponse]":
-        """Send a call; the deferred fails when the connection ends."""
-        self._waiting = defer.Deferred(self._cancel)
+        """Send a call; the deferred fails when the connection closes."""
+        self._pending = defer.Deferred(self._cancel)
         self._parts = []
         self._write(answers.encode_request(self._http, self._host, path))
-        return self._waiting
+        return self._pending
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes of an answer."""
+        """Process bytes of a response."""
         try:
             self._http.receive_data(data)
-            self._events()
-        except h11.RemoteProtocolError as fault:
-            self._fail(fault)
+            self._handle_events()
+        except h11.RemoteProtocolError as failure:
+            self._fail(failure)
 
     def connectionLost(self, reason: typing.Any = protocol.connectionDone) -> None:  # noqa: N802
-        """Fail the call that waits."""
+        """Fail the pending call."""
         self._fail(reason.value)
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         self.open = False
         if self.transport is not None:
             typing.cast(typing.Any, self.transport).abortConnection()
 
-    def _events(self) -> None:
+    def _handle_events(self) -> None:
         while True:
             event = self._http.next_event()
             if event in (h11.NEED_DATA, h11.PAUSED):
@@ -60,29 +60,30 @@
             elif isinstance(event, h11.Data):
                 self._parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                self._done()
+                self._complete()
             elif isinstance(event, h11.ConnectionClosed):
                 self._fail(ValueError("the store closed the connection"))
                 return
 
-    def _done(self) -> None:
-        waiting, self._waiting = self._waiting, None
+    def _complete(self) -> None:
+        pending, self._pending = self._pending, None
         if self._http.our_state is h11.MUST_CLOSE:
             self.close()
         else:
             self._http.start_next_cycle()
-        if waiting is not None:
-            waiting.callback(answers.HttpResponse(self._status, b"".join(self._parts)))
+        if pending is not None:
+            pending.callback(answers.HttpResponse(self._status, b"".join(self._parts)))
 
-    def _fail(self, fault: BaseException) -> None:
-        waiting, self._waiting = self._waiting, None
+    def _fail(self, failure: BaseException) -> None:
+        pending, self._pending = self._pending, None
         self.close()
-        if waiting is not None:
-            waiting.errback(errors.StoreError(f"{type(fault).__name__}: {fault}"))
+        if pending is not None:
+            pending.errback(errors.StoreError(f"{type(failure).__name__}: {failure}"))
 
     def _cancel(self, _: object) -> None:
-        # An answer that comes later would be taken for that of the next call.
-        self._waiting = None
+        # The connection is closed, because a response that arrives later would be
+        # treated as that of the next call.
+        self._pending = None
         self.close()
 
     def _write(self, data: bytes | None) -> None:
@@ -91,10 +92,10 @@
 
 
 class Store(source.ChangeSource):
-    """The store at an address; one connection, opened again when it ends."""
+    """The store at an address, over one connection that is reopened when it closes."""
 
     def __init__(self, reactor: typing.Any, address: model.Address) -> None:
-        """Call the store at an address."""
+        """Create a client of the store at an address."""
         self._reactor = reactor
         self._address = address
         self._connection: _Connection | None = None
@@ -109,14 +110,14 @@
         return listing.changes()
 
     async def changes(self, after: int, wait_ms: int) -> source.Changes:
-        """Return what changed after a revision; see the base class."""
+        """Return the changes after a revision; see the base class."""
         query = {"prefix": "", "after": str(after), "wait_ms": str(wait_ms)}
         body = await self._call(names.WATCH_PATH, query, wait_ms + ANSWER_TIMEOUT_MS)
         try:
             rows = tuple(answers.row(item) for item in body["events"])
             revision = answers.whole_number(body["store_revision"])
-        except answers.DECODE_ERRORS as fault:
-            raise errors.StoreError(f"{names.WATCH_PATH}: {fault!r}") from fault
+        except answers.DECODE_ERRORS as failure:
+            raise errors.StoreError(f"{names.WATCH_PATH}: {failure!r}") from failure
         return source.Changes(rows, revision, after)
 
     async def _call(
@@ -127,23 +128,25 @@
             timeout_ms / 1000, self._reactor
         )
         try:
-            answer = await call
-        except (defer.TimeoutError, defer.CancelledError) as fault:
-            raise errors.StoreError(f"{name}: no answer in {timeout_ms} ms") from fault
-        return answers.decode_body(name, answer)
+            response = await call
+        except (defer.TimeoutError, defer.CancelledError) as failure:
+            raise errors.StoreError(
+                f"{name}: no response in {timeout_ms} ms"
+            ) from failure
+        return answers.decode_body(name, response)
 
     async def _connected(self) -> _Connection:
         known = self._connection
         if known is not None and known.open:
             return known
         host, port = self._address
-        end = endpoints.TCP4ClientEndpoint(
+        endpoint = endpoints.TCP4ClientEndpoint(
             self._reactor, host, port, timeout=CONNECT_TIMEOUT_MS / 1000
         )
-        made = _Connection(f"{host}:{port}")
+        opened = _Connection(f"{host}:{port}")
         try:
-            await endpoints.connectProtocol(end, made)
-        except error.ConnectError as fault:
-            raise errors.StoreError(f"connect: {type(fault).__name__}") from fault
-        self._connection = made
-        return made
+            await endpoints.connectProtocol(endpoint, opened)
+        except error.ConnectError as failure:
+            raise errors.StoreError(f"connect: {type(failure).__name__}") from failure
+        self._connection = opened
+        return opened
