--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Opening packets that wait, without a network."""
+"""Tests of the queue of waiting opening packets, without a network."""
 
 import hypothesis
 from hypothesis import strategies
@@ -26,7 +26,8 @@
     return queue.offer(now_ms, number.to_bytes(13, "big"), caller, number)
 
 
-def test_flow_waits_until_its_deadline_and_not_longer() -> None:
+def test_flow_expires_at_its_deadline_and_not_before() -> None:
+    """Guards against callers who are served late or refused early."""
     queue = busy_queue()
     assert offer(queue, 0, 1, b"a") is None
     assert queue.expire(WAIT_MS - 1) == []
@@ -35,8 +36,10 @@
 
 
 def test_flow_that_cannot_be_served_in_time_is_refused_at_once() -> None:
-    # More callers wait than the rate can serve within the deadline. Told only
-    # when the deadline has passed, the caller would lose that time.
+    """Guards against callers who lose the time until their deadline.
+
+    More callers wait than can be served within the deadline at the present rate.
+    """
     queue = busy_queue(per_s=100)
     refusals = [offer(queue, 0, number, bytes((number,))) for number in range(60)]
     assert refusals[0] is None
@@ -45,9 +48,8 @@
     assert 25 <= refusals.count(None) <= 35
 
 
-def test_flow_of_a_caller_that_has_gone_is_not_placed() -> None:
-    # A caller closes its browser while it waits. Placed later, its flow would
-    # take a slot for nobody.
+def test_cancelled_flow_is_not_placed() -> None:
+    """Guards against a slot that is used for a caller who has gone."""
     queue = busy_queue()
     offer(queue, 0, 1, b"a")
     offer(queue, 0, 2, b"b")
@@ -57,8 +59,7 @@
 
 
 def test_callers_take_turns() -> None:
-    # One office opens flows in a loop. Served in order of arrival, the flow of
-    # another office would wait behind all of them.
+    """Guards against a caller that opens flows in a loop and makes the others wait."""
     queue = busy_queue()
     for number in range(10):
         offer(queue, 0, number, b"loop")
@@ -70,7 +71,8 @@
     assert served.index(99) == 1
 
 
-def test_returns_are_spread_and_those_on_time_are_served_first() -> None:
+def test_reservations_are_spread_and_claimed_ones_are_served_first() -> None:
+    """Guards against refused callers who return all at once and are refused again."""
     queue = busy_queue(per_s=100)
     for number in range(40):
         offer(queue, 0, number, bytes((number,)))
@@ -86,7 +88,8 @@
     assert first is not None and first.item == 500
 
 
-def test_return_before_its_time_gets_no_turn() -> None:
+def test_return_before_its_reservation_gets_no_precedence() -> None:
+    """Guards against callers who gain by ignoring the retry time."""
     queue = busy_queue(per_s=100)
     queue.reserve(0, b"early")
     offer(queue, 10, 1, b"other")
@@ -95,7 +98,8 @@
     assert first is not None and first.item == 1
 
 
-def test_one_caller_cannot_take_all_turns() -> None:
+def test_one_caller_cannot_take_all_reservations() -> None:
+    """Guards against a caller with many flows that takes all reservations."""
     queue = busy_queue(per_s=10)
     for _ in range(1000):
         queue.reserve(0, b"loop")
@@ -103,6 +107,7 @@
 
 
 def test_zero_wait_refuses_at_once() -> None:
+    """Guards against waiting flows of a service that allows no wait."""
     queue: waiting.WaitQueue[int] = waiting.WaitQueue(0)
     assert offer(queue, 0, 1, b"a") is not None
 
@@ -120,24 +125,25 @@
 def test_no_flow_is_both_placed_and_refused(
     steps: list[tuple[str, int, int]],
 ) -> None:
+    """Guards against answers to flows that were refused as not run."""
     queue: waiting.WaitQueue[int] = waiting.WaitQueue(WAIT_MS)
     now_ms = 0
-    waits: set[int] = set()
-    for what, number, after_ms in steps:
+    waiting_flows: set[int] = set()
+    for action, number, after_ms in steps:
         now_ms += after_ms
-        if what == "offer" and number not in waits:
+        if action == "offer" and number not in waiting_flows:
             if offer(queue, now_ms, number, bytes((number % 3,))) is None:
-                waits.add(number)
-        elif what == "cancel":
-            assert queue.cancel(number.to_bytes(13, "big")) == (number in waits)
-            waits.discard(number)
-        elif what == "place":
+                waiting_flows.add(number)
+        elif action == "cancel":
+            assert queue.cancel(number.to_bytes(13, "big")) == (number in waiting_flows)
+            waiting_flows.discard(number)
+        elif action == "place":
             waiter = queue.first()
-            assert (waiter is not None) == bool(waits)
+            assert (waiter is not None) == bool(waiting_flows)
             if waiter is not None:
                 queue.place(now_ms)
-                waits.remove(waiter.item)
-        elif what == "expire":
+                waiting_flows.remove(waiter.item)
+        elif action == "expire":
             for late in queue.expire(now_ms):
-                waits.remove(late.item)
-        assert len(queue) == len(waits)
+                waiting_flows.remove(late.item)
+        assert len(queue) == len(waiting_flows)
