--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -1,4 +1,4 @@
-"""Packets that are carried before the libraries are imported."""
+"""Tests of forwarding packets before the libraries are imported."""
 
 import abc
 import base64
@@ -46,27 +46,27 @@
 def _answer(
     connection: socket.socket, items: typing.Sequence[object], more: bool
 ) -> str:
-    asked = connection.recv(65536).decode()
+    request = connection.recv(65536).decode()
     connection.sendall(_page(items, more))
-    return asked.split("\r\n", 1)[0]
+    return request.split("\r\n", 1)[0]
 
 
-class Answering(abc.ABC):
-    """Listens, and answers one connection in a thread."""
+class OneConnectionServer(abc.ABC):
+    """A server that answers one connection in a thread."""
 
     def __init__(self) -> None:
-        """Begin to listen."""
+        """Start to listen."""
         self._socket = socket.create_server((HOST, 0))
         self._thread = threading.Thread(target=self._run)
         self._thread.start()
 
     @property
     def address(self) -> model.Address:
-        """Where it listens."""
+        """The address on which the server listens."""
         return model.Address(HOST, self._socket.getsockname()[1])
 
     def end(self) -> None:
-        """Wait for the connection to be answered, and close."""
+        """Wait until the connection is answered, and close the socket."""
         self._thread.join()
         self._socket.close()
 
@@ -80,44 +80,44 @@
         """Answer a connection."""
 
 
-class Pages(Answering):
-    """A store that answers two calls, the configuration first."""
+class PagedStore(OneConnectionServer):
+    """A store that answers two calls with one page each, the configuration first."""
 
     def __init__(self, *rows: source.Row) -> None:
-        """Answer with some rows."""
-        self.asked: list[str] = []
+        """Answer with the given rows."""
+        self.requests: list[str] = []
         self._items = [_item(row) for row in rows]
         super().__init__()
 
     def _answer(self, connection: socket.socket) -> None:
-        self.asked.append(_answer(connection, self._items[:1], True))
-        self.asked.append(_answer(connection, self._items[1:], False))
+        self.requests.append(_answer(connection, self._items[:1], True))
+        self.requests.append(_answer(connection, self._items[1:], False))
 
 
 @pytest.fixture
-def bound() -> typing.Iterator[socket.socket]:
-    """Return the socket of a VM that starts."""
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as made:
-        made.setblocking(False)
-        made.bind((HOST, 0))
-        yield made
+def data_socket() -> typing.Iterator[socket.socket]:
+    """Return the data socket of a VM that starts."""
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as opened:
+        opened.setblocking(False)
+        opened.bind((HOST, 0))
+        yield opened
 
 
 @pytest.fixture
 def server() -> typing.Iterator[socket.socket]:
     """Return the socket of a target."""
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as made:
-        made.settimeout(WAIT_S)
-        made.bind((DESTINATION, 0))
-        yield made
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as opened:
+        opened.settimeout(WAIT_S)
+        opened.bind((DESTINATION, 0))
+        yield opened
 
 
 @pytest.fixture
 def log() -> typing.Iterator[tuple[int, int]]:
     """Return the two ends of a pipe for the log."""
-    ends = os.pipe()
-    yield ends
-    for end in ends:
+    pipe_ends = os.pipe()
+    yield pipe_ends
+    for end in pipe_ends:
         with contextlib.suppress(OSError):
             os.close(end)
 
@@ -130,64 +130,65 @@
     return carrying.assemble(loaded, segments.Codec(), entries.Reader(), descriptor)
 
 
-def test_packets_are_carried_before_the_libraries_are_there(
-    bound: socket.socket,
+def test_packets_are_forwarded_between_the_imports(
+    data_socket: socket.socket,
     server: socket.socket,
     log: tuple[int, int],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All VMs lose power, and callers' packets come while they start again.
+    """Guards against packets that nobody reads until the libraries are imported.
 
-    Until the libraries were imported nobody read them; on a small VM that is longer
-    than many a request may take.
+    All VMs lose power, and callers' packets arrive while they start again. On a small
+    VM the imports take longer than many deadlines.
     """
     address = f"{DESTINATION}:{server.getsockname()[1]}"
-    pages = Pages(
+    pages = PagedStore(
         cookie_parts.config_row(1), cookie_parts.target_row("i-0a", 2, address=address)
     )
     first = cookie_parts.packet(cookie_parts.SYN, 40_001)
     second = cookie_parts.packet(cookie_parts.SYN, 40_002)
-    took: list[int] = []
+    forwarded_ports: list[int] = []
 
     def import_module(name: str) -> None:
-        took.append(cookie_parts.caller_port_of(server.recv(2000)))
+        forwarded_ports.append(cookie_parts.caller_port_of(server.recv(2000)))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as caller:
-            caller.sendto(second, bound.getsockname())
+            caller.sendto(second, data_socket.getsockname())
 
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as caller:
-        caller.sendto(first, bound.getsockname())
+        caller.sendto(first, data_socket.getsockname())
     monkeypatch.setattr(importlib, "import_module", import_module)
     monkeypatch.setattr(early, "LIBRARIES", ("one", "two"))
     carrier = _carrier(log[1])
-    early.StartupForwarder(carrier, bound, clock.now_ms()).run(pages.address)
+    early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(pages.address)
     pages.end()
-    assert took == [40_001, 40_002]
+    assert forwarded_ports == [40_001, 40_002]
     assert carrier.parts.knowledge.revision == 7
-    assert "after=op%2Fconfig" in pages.asked[1]
+    assert "after=op%2Fconfig" in pages.requests[1]
 
 
-def test_store_that_is_away_holds_up_no_start(
-    bound: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
+def test_silent_store_does_not_block_the_start(
+    data_socket: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The store accepts the connection and says nothing.
+    """Guards against a VM that waits long for a store that doesn't answer.
 
-    The VM starts without it and hears from other VMs; it must not wait for long.
+    The store accepts the connection and sends nothing. The VM starts without it and
+    receives the rows from other VMs.
     """
     monkeypatch.setattr(early, "STALL_S", 0.05)
     with socket.create_server((HOST, 0)) as silent:
         carrier = _carrier(log[1])
         address = model.Address(HOST, silent.getsockname()[1])
-        early.StartupForwarder(carrier, bound, clock.now_ms()).run(address)
+        early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(address)
     assert not carrier.began
     carrier.parts.log.flush()
     assert b"early_read_failed" in os.read(log[0], 65536)
 
 
-class Trickle(Answering):
-    """A store whose link is full, so that its one page comes bit by bit."""
+class SlowStore(OneConnectionServer):
+    """A store whose link is full, so that its only page arrives in parts."""
 
     def __init__(self, pause_s: float, *rows: source.Row) -> None:
-        """Answer with some rows, a part after each pause."""
+        """Answer with the given rows, one part after each pause."""
         self._pause_s = pause_s
         self._items = [_item(row) for row in rows]
         super().__init__()
@@ -201,11 +202,11 @@
             connection.sendall(raw[start : start + size])
 
 
-class Scripted(Answering):
-    """Answers the first question with prepared bytes."""
+class ScriptedServer(OneConnectionServer):
+    """A server that answers the first request with prepared bytes."""
 
     def __init__(self, raw: bytes) -> None:
-        """Answer with some bytes."""
+        """Answer with the given bytes."""
         self._raw = raw
         super().__init__()
 
@@ -214,11 +215,11 @@
         connection.sendall(self._raw)
 
 
-class Peer(Scripted):
-    """Another VM that answers one that lacks rows."""
+class StandInPeer(ScriptedServer):
+    """Stand-in of another VM that answers a VM that lacks rows."""
 
     def __init__(self, *strings: bytes) -> None:
-        """Answer with some strings."""
+        """Answer with the given strings, each behind its length."""
         super().__init__(
             b"".join(struct.pack(">I", len(item)) + item for item in strings)
         )
@@ -227,8 +228,8 @@
 def _offer(age_ms: int, *rows: source.Row) -> tuple[bytes, bytes]:
     members = (peers.Member("10.0.0.8", "z1"),)
     changes = source.Changes(rows, 7, 0)
-    made = offer.Offers(lambda _: changes, lambda: offer.Standing(age_ms, members))
-    return made.encode(0)
+    offers = offer.Offers(lambda _: changes, lambda: offer.Standing(age_ms, members))
+    return offers.encode(0)
 
 
 ROWS: typing.Final = (
@@ -238,44 +239,45 @@
 
 
 def _unused() -> model.Address:
-    with socket.create_server((HOST, 0)) as made:
-        return model.Address(HOST, made.getsockname()[1])
+    with socket.create_server((HOST, 0)) as opened:
+        return model.Address(HOST, opened.getsockname()[1])
 
 
-def test_listing_that_comes_slowly_is_read_to_its_end(
-    bound: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
+def test_listing_that_arrives_slowly_is_read_to_its_end(
+    data_socket: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against hundreds of VMs that list the store together and all give up.
 
-    Together they fill its link, so that each answer takes longer than one alone.
+    Together they fill the store's link, so that each listing takes longer than one
+    alone.
     """
     monkeypatch.setattr(early, "LIBRARIES", ())
-    store = Trickle(0.04, *ROWS)
+    store = SlowStore(0.04, *ROWS)
     carrier = _carrier(log[1])
-    early.StartupForwarder(carrier, bound, clock.now_ms()).run(store.address)
+    early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(store.address)
     store.end()
     assert carrier.parts.knowledge.revision == 7
     assert carrier.began
 
 
-def test_store_that_closes_after_its_last_page_has_told_all(
-    bound: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
+def test_rows_are_kept_when_the_store_closes_after_its_last_page(
+    data_socket: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against rows that are dropped as the connection can't be used again."""
+    """Guards against rows that are dropped because the connection can't be reused."""
     monkeypatch.setattr(early, "LIBRARIES", ())
     raw = _page([_item(row) for row in ROWS], False)
     head = b"HTTP/1.1 200 OK\r\n"
-    store = Scripted(raw.replace(head, head + b"Connection: close\r\n"))
+    store = ScriptedServer(raw.replace(head, head + b"Connection: close\r\n"))
     carrier = _carrier(log[1])
-    early.StartupForwarder(carrier, bound, clock.now_ms()).run(store.address)
+    early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(store.address)
     store.end()
     assert carrier.parts.knowledge.revision == 7
 
 
 def test_libraries_are_imported_while_the_store_answers(
-    bound: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
+    data_socket: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a start that waits for the store with its processor idle."""
+    """Guards against a start that waits for the store with an idle processor."""
     imported: list[bool] = []
     carrier = _carrier(log[1])
 
@@ -285,39 +287,41 @@
 
     monkeypatch.setattr(importlib, "import_module", import_module)
     monkeypatch.setattr(early, "LIBRARIES", ("one",) * 8)
-    store = Trickle(0.06, *ROWS)
-    early.StartupForwarder(carrier, bound, clock.now_ms()).run(store.address)
+    store = SlowStore(0.06, *ROWS)
+    early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(store.address)
     store.end()
     assert not imported[0]
     assert imported[-1]
 
 
-def test_vm_that_starts_while_others_serve_asks_no_store(
-    bound: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
+def test_vm_with_an_answering_peer_does_not_list_the_store(
+    data_socket: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a listing of the store for each of hundreds of restarts."""
     monkeypatch.setattr(early, "LIBRARIES", ())
-    peer = Peer(*_offer(300, *ROWS))
+    peer = StandInPeer(*_offer(300, *ROWS))
     carrier = _carrier(log[1])
-    starting = early.StartupForwarder(carrier, bound, clock.now_ms(), [peer.address])
-    starting.run(_unused())
+    forwarder = early.StartupForwarder(
+        carrier, data_socket, clock.now_ms(), [peer.address]
+    )
+    forwarder.run(_unused())
     peer.end()
-    known = carrier.parts.knowledge
-    assert known.revision == 7
-    assert 300 <= known.age_ms(clock.now_ms()) < 2000
-    assert starting.members == (peers.Member("10.0.0.8", "z1"),)
+    knowledge = carrier.parts.knowledge
+    assert knowledge.revision == 7
+    assert 300 <= knowledge.age_ms(clock.now_ms()) < 2000
+    assert forwarder.members == (peers.Member("10.0.0.8", "z1"),)
     assert carrier.began
     assert b"early_read_failed" not in os.read(log[0], 65536)
 
 
-def test_old_rows_are_used_while_the_store_is_away(
-    bound: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
+def test_old_rows_of_a_peer_are_used_while_the_store_is_unavailable(
+    data_socket: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a VM that serves nobody until the store is back."""
+    """Guards against a VM that serves no caller until the store is available."""
     monkeypatch.setattr(early, "LIBRARIES", ())
-    peer = Peer(*_offer(9000, *ROWS))
+    peer = StandInPeer(*_offer(9000, *ROWS))
     carrier = _carrier(log[1])
-    early.StartupForwarder(carrier, bound, clock.now_ms(), [peer.address]).run(
+    early.StartupForwarder(carrier, data_socket, clock.now_ms(), [peer.address]).run(
         _unused()
     )
     peer.end()
@@ -326,28 +330,31 @@
     assert b"early_read_failed" in os.read(log[0], 65536)
 
 
-def test_dark_seeds_hold_up_no_start(
-    bound: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
+def test_silent_seeds_do_not_block_the_start(
+    data_socket: socket.socket, log: tuple[int, int], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a start that waits for each seed after a loss of power of all.
+    """Guards against a start that waits for each seed after a power loss of all VMs.
 
-    Seeds without power do not even refuse; here their queues are full.
+    Seeds without power don't even refuse connections; here their queues are full.
     """
     monkeypatch.setattr(early, "LIBRARIES", ())
-    with contextlib.ExitStack() as held:
-        dark = [held.enter_context(_full_queue()) for _ in range(3)]
-        pages = Pages(*ROWS)
+    with contextlib.ExitStack() as stack:
+        silent_seeds = [stack.enter_context(_full_queue()) for _ in range(3)]
+        pages = PagedStore(*ROWS)
         carrier = _carrier(log[1])
-        early.StartupForwarder(carrier, bound, clock.now_ms(), dark).run(pages.address)
+        early.StartupForwarder(carrier, data_socket, clock.now_ms(), silent_seeds).run(
+            pages.address
+        )
         pages.end()
     assert carrier.began
-    # All are given up together; one after the other only some would be tried.
+    # All seeds time out together. If they were tried one after the other, only some
+    # would be tried.
     assert os.read(log[0], 65536).count(b"TimeoutError: connect") == 3
 
 
 @contextlib.contextmanager
 def _full_queue() -> typing.Iterator[model.Address]:
-    """Return an address where connections hang, as its queue is full."""
+    """Return an address where connections hang because its queue is full."""
     with socket.create_server((HOST, 0), backlog=0) as listening:
         address = model.Address(HOST, listening.getsockname()[1])
         waiting = [socket.socket() for _ in range(4)]
@@ -362,30 +369,27 @@
 @pytest.mark.parametrize(
     "strings", [(), (b"x", b"y"), _offer(0), (b"\xff" * 40,)], ids=repr
 )
-def test_peer_without_an_answer_leaves_the_store(
-    bound: socket.socket,
+def test_store_is_listed_when_a_peer_has_no_valid_answer(
+    data_socket: socket.socket,
     log: tuple[int, int],
     monkeypatch: pytest.MonkeyPatch,
     strings: tuple[bytes, ...],
 ) -> None:
-    """Guards against a peer that knows nothing or sends garbage."""
+    """Guards against a peer that has no rows or sends garbage."""
     monkeypatch.setattr(early, "LIBRARIES", ())
-    peer, pages = Peer(*strings), Pages(*ROWS)
+    peer, pages = StandInPeer(*strings), PagedStore(*ROWS)
     carrier = _carrier(log[1])
-    starting = early.StartupForwarder(
-        carrier, bound, clock.now_ms(), [_unused(), peer.address]
+    forwarder = early.StartupForwarder(
+        carrier, data_socket, clock.now_ms(), [_unused(), peer.address]
     )
-    starting.run(pages.address)
+    forwarder.run(pages.address)
     peer.end()
     pages.end()
     assert carrier.parts.knowledge.revision == 7
-    assert starting.members == ()
+    assert forwarder.members == ()
 
 
-def test_libraries_are_all_there() -> None:
-    """A library's next release may move a module.
-
-    The VM would fail at its start.
-    """
+def test_all_listed_libraries_can_be_imported() -> None:
+    """Guards against a library release that moves a module and breaks the start."""
     for name in early.LIBRARIES:
         importlib.import_module(name)
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's store."""
+"""Tests of the decoding of the platform store's rows."""
 
 import json
 import typing
@@ -29,7 +29,8 @@
     return entries.Reader()
 
 
-def test_target(reader: entries.Reader) -> None:
+def test_target_row_is_decoded(reader: entries.Reader) -> None:
+    """Guards against flows that are sent to a wrong address or to a draining target."""
     target = reader.target(cookie_parts.target_row("i-0a", 1, state="draining"))
     assert target.address == model.Address("10.128.0.10", 8080)
     assert target.token == bytes(7) + b"\x0a"
@@ -37,25 +38,26 @@
     assert target.slots == 2
 
 
-def test_incarnations_of_one_name_differ(reader: entries.Reader) -> None:
-    """A server starts again under its id and knows nothing of before.
+def test_incarnations_of_one_id_have_different_cookies(reader: entries.Reader) -> None:
+    """Guards against packets of old flows that count as those of new ones.
 
-    With one cookie for both incarnations packets of old flows would count as
-    those of new ones.
+    A server starts again under its id and has no state of its previous incarnation.
     """
     first = reader.target(cookie_parts.target_row("i-0a", 1, born=1))
     second = reader.target(cookie_parts.target_row("i-0a", 2, born=2))
     assert first.cookie != second.cookie
 
 
-def test_config(reader: entries.Reader) -> None:
+def test_config_row_is_decoded(reader: entries.Reader) -> None:
+    """Guards against a route whose flows go to a wrong service."""
     config = reader.config(cookie_parts.config_row(1, version=7))
     route = config.routes[(cookie_parts.SERVICE_IP, 443)]
     assert config.version == 7
     assert route.shares == (model.Share("desk", 1.0),)
 
 
-def test_config_with_split(reader: entries.Reader) -> None:
+def test_traffic_split_is_decoded_as_shares(reader: entries.Reader) -> None:
+    """Guards against a split route that sends all flows to one service."""
     body = json.loads(cookie_parts.config_row(1).value or b"")
     del body["routes"][0]["service"]
     body["routes"][0]["traffic_split"] = [
@@ -82,12 +84,12 @@
         {"zone": ["z1"]},
     ],
 )
-def test_refuses_entries_of_other_writers(
+def test_target_row_with_invalid_field_is_refused(
     reader: entries.Reader, changes: dict[str, typing.Any]
 ) -> None:
-    """Something else writes beside the servers, with fields wrong or missing.
+    """Guards against callers who are sent to an address where no target answers.
 
-    An entry that is half understood would send callers where nobody answers.
+    Another program writes beside the servers, with fields that are wrong or missing.
     """
     with pytest.raises(errors.EntryInvalidError):
         reader.target(cookie_parts.target_row("i-0a", 1, **changes))
@@ -96,7 +98,8 @@
 @hypothesis.given(
     strategies.binary(max_size=80) | JSON.map(lambda v: json.dumps(v).encode())
 )
-def test_any_value_is_read_or_refused(value: bytes) -> None:
+def test_any_value_is_decoded_or_refused(value: bytes) -> None:
+    """Guards against a row that makes the decoder fail in another way."""
     reader = entries.Reader()
     for key, read in (("servers/i-0a", reader.target), ("op/config", reader.config)):
         try:
@@ -111,7 +114,8 @@
     return row._replace(value=json.dumps(body).encode())
 
 
-def test_service_names_what_cold_targets_bear(reader: entries.Reader) -> None:
+def test_cold_start_fields_of_a_service_are_decoded(reader: entries.Reader) -> None:
+    """Guards against cold targets that get more flows than the service configures."""
     limited = {"name": "desk", "cold_start_s": 1.5, "cold_per_s": 0.0}
     config = reader.config(_with_services(limited, {"name": "vault"}))
     assert config.services["desk"] == model.Service("desk", 1500, 0.0)
@@ -120,16 +124,17 @@
 
 @pytest.mark.parametrize("value", [-1, float("nan"), float("inf"), "5", True, []])
 @pytest.mark.parametrize("field", ["cold_start_s", "cold_per_s"])
-def test_cold_figure_that_is_no_amount_is_refused(
+def test_cold_start_field_that_is_no_valid_number_is_refused(
     reader: entries.Reader, field: str, value: object
 ) -> None:
-    """Guards against a figure that fails only when a flow is placed by it."""
+    """Guards against a value that fails only when a flow is placed."""
     with pytest.raises(errors.EntryInvalidError):
         reader.config(_with_services({"name": "desk", field: value}))
 
 
 @hypothesis.given(key=strategies.text(), value=strategies.binary(max_size=60))
-def test_any_evacuation_is_read_or_refused(key: str, value: bytes) -> None:
+def test_any_evacuation_is_decoded_or_refused(key: str, value: bytes) -> None:
+    """Guards against an evacuation that is ignored because of its value."""
     row = source.Row(f"op/evacuate/{key}", value, 1)
     try:
         assert entries.Reader().evacuation(row).zone == key
--- a/tests/test_overload_play.py
+++ b/tests/test_overload_play.py
@@ -1,4 +1,4 @@
-"""What callers get when they ask for more than targets can do, played in full."""
+"""Simulated loads of more flows than the targets can serve."""
 
 import random
 
@@ -32,32 +32,35 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_short_flows_are_not_all_sent_to_the_same_target(seed: int) -> None:
-    """Callers open a flow for each request, and ask for 0.8 of what targets can do.
+def test_short_flows_at_80_percent_load_are_served_in_time(seed: int) -> None:
+    """Guards against VMs that all send their flows to the same target.
 
-    VMs hear of each other's flows once a second. By that count alone all of them
-    send their flows to the target that was emptiest then, until they hear that it
-    is full, while others idle.
+    Callers open a flow for each request, and ask for 0.8 of the capacity of the
+    targets. VMs receive one another's flow counts once a second. With these counts
+    alone all VMs send their flows to the target that was emptiest then, until the next
+    reports show that it is full, while other targets are idle.
     """
     assert _steady("demand_80", seed) > 0.95
 
 
-def test_slow_servers_get_what_they_can_do() -> None:
-    """One server works at 0.3 of the usual speed, and another at 2.2 times.
+def test_slow_server_gets_flows_by_its_speed() -> None:
+    """Guards against a queue at a slow server that has few flows.
 
-    By flows alone the slow one has a queue before its flows are many.
+    One server works at 0.3 of the usual speed, and another at 2.2 times. By flow counts
+    alone the slow one has a queue before it has many flows.
     """
     assert _steady("unequal_70") > 0.93
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_cut_leaves_no_trace_when_it_is_over(seed: int) -> None:
-    """A zone is cut off for five seconds and its VMs find all other targets silent.
-
-    Once the way is back, they still hold that against each target until it has
-    answered them, and tell the VMs of all zones. These pass over targets that answer
-    them, and fill the few that are left: callers of zones that were never cut off
-    wait for as long as the load lasts.
+def test_targets_are_used_again_after_a_cut_ends(seed: int) -> None:
+    """Guards against a fault that all VMs still treat as present after it has ended.
+
+    A zone is cut off for five seconds, and its VMs find all other targets silent. After
+    the cut they keep each target marked as silent until it has answered them, and
+    report that to the VMs of all zones. If these passed over targets that answer them,
+    they would fill the few that are left, and callers of zones that were never cut off
+    would wait for as long as the load lasts.
     """
     ends = _play("zone_cut", seed)
     begin_ms = CUT_ENDS_MS + 500
@@ -65,52 +68,53 @@
 
 
 @pytest.fixture
-def unlimited(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let VMs refuse no flow."""
+def no_load_shedding(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Keep VMs from refusing any flow."""
     monkeypatch.setattr(overload, "BEGIN_LATE_SHARE", 2.0)
 
 
 DEMANDS = ("demand_150", "demand_300", "unequal_150")
-# What refusing must bring of the worth that no decider can pass.
-GAIN = 0.05
+# Least gain by refusals, as a share of the best worth that any policy can reach.
+MIN_GAIN = 0.05
 
 
 @pytest.mark.parametrize("name", DEMANDS)
-def test_overload_is_served_better_with_refusals(
+def test_refusals_improve_the_service_under_overload(
     name: str, request: pytest.FixtureRequest
 ) -> None:
-    """Callers ask for more than targets can do, for as long as the load lasts.
+    """Guards against full queues that make most answers late.
 
-    Every queue is full, so that most answers are late, and those who are turned away
-    by a full target try again and keep it full.
+    Callers ask for more than the targets can do for as long as the load lasts. Callers
+    who are refused by a full target retry and keep it full.
     """
-    refusing = _steady(name)
-    request.getfixturevalue("unlimited")
+    with_refusals = _steady(name)
+    request.getfixturevalue("no_load_shedding")
     best = open_load.best(open_scenario.LOADS[name])
-    assert refusing > _steady(name) + GAIN * best
+    assert with_refusals > _steady(name) + MIN_GAIN * best
 
 
-def test_uploads_go_before_feeds() -> None:
-    """Uploads are more urgent and a fifth of what is asked; they all have room."""
+def test_urgent_uploads_are_served_under_overload() -> None:
+    """Guards against refused uploads; a fifth of the demand, they all have room."""
     ends = _play("demand_150")
     uploads = [item for item in ends if not item.kind.long and item.asked_ms > 2000]
     assert open_load.worth(uploads) > 0.85
 
 
 @pytest.mark.parametrize("name", ["demand_50", "demand_70"])
-def test_nobody_is_refused_with_room_to_spare(
+def test_refusals_cost_nothing_below_capacity(
     name: str, request: pytest.FixtureRequest
 ) -> None:
-    refusing = _steady(name)
-    request.getfixturevalue("unlimited")
-    assert refusing > _steady(name) - 0.005
+    """Guards against refusals while targets have room."""
+    with_refusals = _steady(name)
+    request.getfixturevalue("no_load_shedding")
+    assert with_refusals > _steady(name) - 0.005
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_burst_is_over_two_seconds_after_its_end(seed: int) -> None:
-    """The demand is back to 0.7 of what targets can do.
+def test_flows_are_served_two_seconds_after_a_burst(seed: int) -> None:
+    """Guards against retries of refused or late callers that keep the queues full.
 
-    Retries of those who were refused or late must not keep the queues full.
+    The demand is back at 0.7 of the capacity of the targets.
     """
     ends = _play("burst_ends", seed)
     end_ms = 7000
@@ -118,26 +122,26 @@
     assert open_load.worth(asked) > 0.95
 
 
-class Lossy(open_load.Play):
-    """A load in which a fifth of the targets' answers to opening packets is lost.
+class LossyLoad(open_load.Play):
+    """Load in which a fifth of the targets' answers to opening packets is lost.
 
     Attributes:
-        refusals: For each refused opening, whether a target had taken one before.
+        refusals: For each refused opening, whether a target had accepted one before.
     """
 
     def __init__(self, name: str, seed: int) -> None:
         """Prepare a run of a load."""
         super().__init__(open_scenario.LOADS[name], segments.Codec(), seed)
         self.refusals: list[bool] = []
-        self._taken: set[int] = set()
-        self._losses = random.Random(seed)
+        self._accepted_ports: set[int] = set()
+        self._loss_rng = random.Random(seed)
 
     def _steer(
         self, flow: open_load._Flow, flags: int, acknowledged: int, data: bytes
     ) -> steering.Decision:
         decision = super()._steer(flow, flags, acknowledged, data)
         if flags == packets.SYN and decision.address is None and decision.datagram:
-            self.refusals.append(flow.port in self._taken)
+            self.refusals.append(flow.port in self._accepted_ports)
         return decision
 
     def _reached(
@@ -146,14 +150,14 @@
         target = super()._reached(flow, decision)
         if target is None or flow.target is not None:
             return target
-        self._taken.add(flow.port)
-        return None if self._losses.random() < 0.2 else target
+        self._accepted_ports.add(flow.port)
+        return None if self._loss_rng.random() < 0.2 else target
 
 
 @pytest.mark.parametrize("name", ["demand_150", "demand_300", "zone_cut"])
-def test_refused_flow_was_taken_by_no_target(name: str) -> None:
-    """Guards against a refusal that says "not run" of a flow that a target took."""
-    play = Lossy(name, 1)
+def test_refused_flow_was_accepted_by_no_target(name: str) -> None:
+    """Guards against a refusal as "not run" of a flow that a target accepted."""
+    play = LossyLoad(name, 1)
     play.run()
     assert play.refusals
     assert not any(play.refusals)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP, against a stand-in on loopback."""
+"""Tests of the client of the platform's store, with a stand-in on loopback."""
 
 import base64
 import json
@@ -21,10 +21,10 @@
 
 
 class StandIn(protocol.Factory):
-    """A store that answers what a script says; None for no answer."""
+    """A store that answers as a script returns; None stands for no answer."""
 
     def __init__(self, script: Script) -> None:
-        """Answer calls as a script says."""
+        """Answer calls with the results of a script."""
         self.script = script
         self.calls: list[str] = []
         self.connections = 0
@@ -98,7 +98,9 @@
     return 200, json.dumps(body).encode()
 
 
-def test_reads_all_pages(start: Start) -> None:
+def test_all_pages_are_read_over_one_connection(start: Start) -> None:
+    """Guards against a listing that ends with its first page."""
+
     def script(path: str, query: dict[str, str]) -> Answer:
         if "after" in query:
             assert query["after"] == "b"
@@ -117,6 +119,8 @@
 
 
 def test_watch_returns_writes_and_deletions(start: Start) -> None:
+    """Guards against deleted rows that stay in use."""
+
     def script(path: str, query: dict[str, str]) -> Answer:
         assert (path, query["after"]) == ("/api/kv-watch", "4")
         events = [_item("a", 5), {"key": "b", "revision": 6, "deleted": True}]
@@ -128,7 +132,8 @@
     assert (changes.base, changes.revision) == (4, 6)
 
 
-def test_forgotten_history_is_told_apart(start: Start) -> None:
+def test_status_410_raises_history_gone(start: Start) -> None:
+    """Guards against endless watches from a revision that the store has deleted."""
     _, client = start(lambda *_: (410, b"{}"))
     with pytest.raises(errors.HistoryGoneError):
         turning.result(client.changes(4, 1000))
@@ -151,19 +156,21 @@
         ),
     ],
 )
-def test_refusals_and_nonsense_are_errors(start: Start, answer: Answer) -> None:
-    """The store refuses this VM, or something else answers in its place."""
+def test_refusal_or_invalid_body_raises_store_error(
+    start: Start, answer: Answer
+) -> None:
+    """Guards against answers of another server that are treated as the store's."""
     _, client = start(lambda *_: answer)
     with pytest.raises(errors.StoreError):
         turning.result(client.changes(4, 100))
 
 
-def test_connection_that_went_silent_is_left(
+def test_call_after_a_timeout_uses_a_new_connection(
     start: Start, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An open connection returns nothing more, without a reset.
+    """Guards against a VM that never receives a change again.
 
-    A VM that waited on it would never hear of a change again.
+    An open connection returns nothing more, without a reset.
     """
     monkeypatch.setattr(store, "ANSWER_TIMEOUT_MS", 100)
     answers: list[Answer] = [None, _json({"events": [], "store_revision": 4})]
@@ -174,18 +181,19 @@
     assert stand_in.connections == 2
 
 
-def test_store_that_does_not_listen_is_an_error() -> None:
+def test_refused_connection_raises_store_error() -> None:
+    """Guards against a connection error that callers of the client don't handle."""
     client = store.Store(default_reactor, model.Address(HOST, 1))
     with pytest.raises(errors.StoreError):
         turning.result(client.read_all())
 
 
-def test_connection_that_is_never_accepted_is_an_error(
+def test_connection_that_is_never_accepted_raises_store_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A partition swallows the opening packets of a connection.
+    """Guards against a call that hangs for minutes and blocks all later calls.
 
-    Without a bound the only call that is made at a time would hang for minutes.
+    A partition drops the opening packets of a connection.
     """
     monkeypatch.setattr(store, "CONNECT_TIMEOUT_MS", 50)
     with turning.full_listener() as address:
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -1,4 +1,4 @@
-"""Segments of the platform's callers."""
+"""Tests of the codec of callers' segments."""
 
 import hypothesis
 import pytest
@@ -9,7 +9,7 @@
 from eelgrasswick.platform import entries, segments
 from tests import cookie_parts
 
-# The example of the protocol page: an opening packet from 100.64.0.7:40001 to
+# Example of the protocol page: an opening packet from 100.64.0.7:40001 to
 # 198.18.0.1:443.
 EXAMPLE = bytes.fromhex(
     "00001122334400000000 00000000 a1b2c3d5 c6120001 9c41 64400007 01bb 20 000000"
@@ -24,7 +24,8 @@
     return segments.Codec()
 
 
-def test_reads_the_example(codec: segments.Codec) -> None:
+def test_example_segment_is_decoded(codec: segments.Codec) -> None:
+    """Guards against a codec that differs from the protocol page."""
     segment = codec.decode(EXAMPLE)
     assert str(segment.flow) == "100.64.0.7:40001>198.18.0.1:443"
     assert segment.opening
@@ -32,17 +33,20 @@
     assert segment.cookie == 0
 
 
-def test_reset_is_the_example(codec: segments.Codec) -> None:
+def test_reset_equals_the_example(codec: segments.Codec) -> None:
+    """Guards against resets that callers do not accept."""
     assert codec.reset(codec.decode(EXAMPLE).flow, 0) == EXAMPLE_RESET
 
 
-def test_mark_changes_the_cookie_only(codec: segments.Codec) -> None:
+def test_marking_changes_only_the_cookie(codec: segments.Codec) -> None:
+    """Guards against a cookie that overwrites other fields."""
     marked = codec.marked(EXAMPLE, 0xDEADBEEF)
     assert codec.decode(marked).cookie == 0xDEADBEEF
     assert codec.marked(marked, 0) == EXAMPLE
 
 
-def test_token_of_the_target_stands_in_front(codec: segments.Codec) -> None:
+def test_addressed_datagram_starts_with_the_token(codec: segments.Codec) -> None:
+    """Guards against datagrams that the target's host can't deliver."""
     row = cookie_parts.target_row("i-7f3a91c2", 1)
     target = entries.Reader().target(row)
     assert (
@@ -62,11 +66,13 @@
         cookie_parts.packet(cookie_parts.ACK, data=b"x" * 1201),
     ],
 )
-def test_refuses_what_no_caller_sends(codec: segments.Codec, datagram: bytes) -> None:
-    """Anyone can send to the port of an entry VM.
+def test_segment_that_no_caller_sends_is_refused(
+    codec: segments.Codec, datagram: bytes
+) -> None:
+    """Guards against forged datagrams, which anyone can send to a VM's port.
 
-    A forged answer that was passed on would make a target drop the flow, and a
-    length that is wrong would mix data of two packets.
+    If a forged answer were forwarded, the target would drop the flow. A wrong length
+    would mix the data of two packets.
     """
     with pytest.raises(errors.PacketMalformedError):
         codec.decode(datagram)
@@ -74,6 +80,7 @@
 
 @hypothesis.given(strategies.binary(max_size=60))
 def test_any_bytes_give_a_segment_or_an_error(datagram: bytes) -> None:
+    """Guards against bytes that make the decoder fail in another way."""
     codec = segments.Codec()
     try:
         segment = codec.decode(datagram)
