--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -118,7 +118,7 @@
         self.wake()
         # A caller sends its last copy only if nobody has answered before, and
         # no further one; dropped, its attempt would be over.
-        self._backlog_keeps = steering.LAST_COPY
+        self._backlog_keeps = steering.LAST_RETRANSMISSION
 
     def take(self, raw: bytes, host: str) -> None:
         """Carry a packet that came from a host."""
--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -123,7 +123,7 @@
         )
 
     def _reset_flows(self, target: model.Target) -> int:
-        resets = self._carrier.steering.abandon(target)
+        resets = self._carrier.steering.reset_flows(target)
         for flow, datagram in resets:
             self.port.send(datagram, self._carrier.caller(flow))
             self._log.write("flow_target_dead_reset", flow=flow, target=target.name)
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -11,12 +11,12 @@
 # While knowledge is older, a route that is not known may be one that was just
 # added. Two seconds are within the three in which a change is to be in force
 # and above the age that a watched store leaves.
-SURE_MS: typing.Final = 2000
+MAX_CATALOG_AGE_MS: typing.Final = 2000
 # Callers send a copy 200 ms after an opening packet. One that is seen sooner
 # has waited together with the first, and does not say that it got no answer.
-COPY_MS: typing.Final = 120
+MIN_RETRANSMISSION_MS: typing.Final = 120
 # The copies are numbered from 0; this is the number of the last one, 600 ms later.
-LAST_COPY: typing.Final = 2
+LAST_RETRANSMISSION: typing.Final = 2
 _PARTS: typing.Final = 2**16
 _NUMBERS: typing.Final = struct.Struct(">III")
 
@@ -28,7 +28,7 @@
     PLACED = "placed"
     PLACED_AGAIN = "placed_again"
     NO_ROUTE = "no_route"
-    NO_ROUTE_SURE = "no_route_reset"
+    NO_ROUTE_RESET = "no_route_reset"
     NO_TARGET = "no_target_reset"
     NO_TARGET_YET = "no_target_yet"
     EVACUATED = "evacuated_reset"
@@ -112,10 +112,10 @@
         # is open already shows that some VM knows the route, so it is reset
         # only when this VM has seen the route go.
         known = segment.opening or self._catalog.dropped(segment)
-        if segment.reset or age_ms > SURE_MS or not known:
+        if segment.reset or age_ms > MAX_CATALOG_AGE_MS or not known:
             return Decision(Outcome.NO_ROUTE, None, None, None)
         datagram = self._codec.reset(segment.flow, segment.acknowledged)
-        return Decision(Outcome.NO_ROUTE_SURE, datagram, None, None)
+        return Decision(Outcome.NO_ROUTE_RESET, datagram, None, None)
 
     def _open(
         self, now_ms: int, route: model.Route, segment: model.Segment, raw: bytes
@@ -126,7 +126,7 @@
         before = self._catalog.by_cookie(record.cookie) if record is not None else None
         if record is None or before is None or self._is_dead(now_ms, before):
             return self._place(now_ms, route, flow, raw, copies, None)
-        soon = now_ms - record.placed_ms < COPY_MS
+        soon = now_ms - record.placed_ms < MIN_RETRANSMISSION_MS
         unanswered = copies > record.copies
         moves = unanswered or self._catalog.evacuations.covers(before)
         if record.open or not moves or soon:
@@ -270,7 +270,7 @@
         ended = self._catalog.ended(cookie)
         return ended or self._observations.liveness.dead(now_ms, cookie)
 
-    def abandon(self, target: model.Target) -> list[tuple[model.FlowId, bytes]]:
+    def reset_flows(self, target: model.Target) -> list[tuple[model.FlowId, bytes]]:
         """Return a reset for each open flow of a target that is dead."""
         flows = self._observations.tracker.open_on(target.cookie)
         for flow, _ in flows:
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -250,7 +250,7 @@
             self._due.now_ms, target.cookie, accepted, path_ms
         )
         if dead:
-            vm.steering.abandon(target)
+            vm.steering.reset_flows(target)
 
     def _accepts(self, vm: Vm, target: model.Target) -> bool:
         found = self._targets[self.number(target)]
--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -129,7 +129,7 @@
         )
         # What an outage of the store has made old is better than nothing, but the
         # store may be back by now.
-        return known.age_ms(now_ms) <= steering.SURE_MS
+        return known.age_ms(now_ms) <= steering.MAX_CATALOG_AGE_MS
 
     def _read(self, idle_s: float, total_s: float) -> None:
         """Read on in the listing, if it has not come to its end.
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -203,7 +203,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as waiting:
         waiting.bind((entry_parts.host(1), entry_parts.DATA_PORT))
         waiting.setblocking(False)
-        for copy, port in ((1, 40_001), (steering.LAST_COPY, 40_002)):
+        for copy, port in ((1, 40_001), (steering.LAST_RETRANSMISSION, 40_002)):
             raw = cookie_parts.packet(cookie_parts.SYN, port, acknowledged=copy)
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as made:
                 made.sendto(raw, (entry_parts.host(1), entry_parts.DATA_PORT))
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -106,7 +106,7 @@
 def test_unknown_route_is_reset(steers: steering.Steering) -> None:
     raw = cookie_parts.packet(cookie_parts.SYN, port=9)
     decision = steering_parts.steer(steers, 0, raw)
-    assert decision.outcome is steering.Outcome.NO_ROUTE_SURE
+    assert decision.outcome is steering.Outcome.NO_ROUTE_RESET
     assert decision.address is None
 
 
@@ -116,7 +116,9 @@
     A reset would tell the caller that there is no such service.
     """
     raw = cookie_parts.packet(cookie_parts.SYN, port=9)
-    decision = steering_parts.steer(steers, 0, raw, age_ms=steering.SURE_MS + 1)
+    decision = steering_parts.steer(
+        steers, 0, raw, age_ms=steering.MAX_CATALOG_AGE_MS + 1
+    )
     assert decision.datagram is None
 
 
@@ -143,7 +145,7 @@
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=target.cookie, data=b"GET")
     decision = steering_parts.steer(steers, 6, raw)
     assert decision.target is None
-    assert decision.outcome is steering.Outcome.NO_ROUTE_SURE
+    assert decision.outcome is steering.Outcome.NO_ROUTE_RESET
     known.update(7, knowledge.Merge((cookie_parts.config_row(10, 3),), 0))
     assert steering_parts.steer(steers, 8, raw).target == target
 
--- a/tests/test_steering_silent.py
+++ b/tests/test_steering_silent.py
@@ -152,7 +152,7 @@
     Their callers would wait until their deadline for each request.
     """
     first = _crash(steers, seen)
-    resets = steers.abandon(first)
+    resets = steers.reset_flows(first)
     assert [flow for flow, _ in resets] == [cookie_parts.flow()]
     raw = cookie_parts.packet(
         cookie_parts.ACK, 40_077, acknowledged=900, cookie=first.cookie, data=b"GET"
@@ -192,7 +192,7 @@
     on, and the server is asked once more whether it is there.
     """
     first = _crash(steers, seen)
-    steers.abandon(first)
+    steers.reset_flows(first)
     now_ms = 470 + liveness.DEAD_MS
     neighbours = [item for item in known.accepting("desk") if item != first]
     seen.answered(now_ms, neighbours[0])
