--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -100,13 +100,13 @@
         now_ms = clock.now_ms()
         gap_ms = self.stalls.awake(now_ms)
         if gap_ms > stall.PROBE_GAP_MS:
-            self._observations.paused(now_ms)
+            self._observations.record_pause(now_ms)
         if gap_ms > stall.STALL_MS:
             # Opening packets that waited are old. Their flows may be open by
             # now, through other VMs; placed here, they would be open twice.
             self._backlog_until_ms = now_ms + BACKLOG_MS
             self._backlog_keeps = NO_COPY
-            self._observations.woke(now_ms)
+            self._observations.record_stall(now_ms)
             self._log.write("woke", stood_still_ms=gap_ms)
         return now_ms
 
--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -108,7 +108,7 @@
             self._log,
             self._stats,
             self._forwarder.check,
-            self._observations.witness,
+            self._observations.record_witness,
         )
 
     def start(self) -> None:
@@ -116,7 +116,7 @@
         vm = self._settings.vm
         now_ms = clock.now_ms()
         # Answers to what was forwarded before may lie in the socket.
-        self._observations.paused(now_ms)
+        self._observations.record_pause(now_ms)
         twisted_errors.take(self._log, self._stats)
         self._log.write("started", zone=vm.zone, seeds=len(self._settings.fleet.seeds))
         self._gossip.peers.named(now_ms, self._settings.fleet.seeds)
--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -56,7 +56,7 @@
         accepted = await probing.accepts(self._reactor, target.address)
         if not accepted and not missing:
             await self._look_for_path(now_ms, target)
-        path_ms = self._observations.path_ms(target)
+        path_ms = self._observations.zone_answered_ms(target)
         ended_ms = clock.now_ms()
         if self._carrier.stalls.since(now_ms, ended_ms):
             # The probe may have timed out with its answer unread.
@@ -80,15 +80,16 @@
         # Only an answer of a neighbour tells a dead target from a cut. A VM with few
         # flows in the zone hears none for seconds, and its callers would wait for
         # their deadlines; so it asks a neighbour for a connection, too.
-        if self._observations.path_ms(target) > since_ms:
+        if self._observations.zone_answered_ms(target) > since_ms:
             return
-        neighbour = self._observations.neighbour(clock.now_ms(), target)
+        neighbour = self._observations.other_target_in_zone(clock.now_ms(), target)
         if neighbour is not None:
             if await probing.accepts(self._reactor, neighbour.address):
-                self._observations.path_seen(clock.now_ms(), target.zone)
+                self._observations.record_zone_answer(clock.now_ms(), target.zone)
             return
         await probing.path_known(
-            self._reactor, lambda: self._observations.path_ms(target) > since_ms
+            self._reactor,
+            lambda: self._observations.zone_answered_ms(target) > since_ms,
         )
 
     def check_overdue(self, now_ms: int) -> list[ejection.Witness]:
@@ -97,7 +98,7 @@
         Returns:
             What other VMs of the zone should hear.
         """
-        targets, witnesses = self._observations.overdue(now_ms)
+        targets, witnesses = self._observations.take_overdue(now_ms)
         for target in targets:
             defer.ensureDeferred(self._probe(target))
         return witnesses
@@ -110,7 +111,7 @@
         target = self._catalog.by_cookie(cookie)
         if target is None or not self._observations.tracker.open_on(cookie):
             return
-        if self._observations.probe_due(clock.now_ms(), target):
+        if self._observations.begin_check(clock.now_ms(), target):
             defer.ensureDeferred(self._probe(target))
 
     def abandon(self, target: model.Target) -> None:
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -19,11 +19,11 @@
 
 # How often services and routes that are gone are looked for; they are few a day, and
 # thousands are walked for them.
-FORGET_MS: typing.Final = 10_000
+REMOVAL_INTERVAL_MS: typing.Final = 10_000
 # How often the speeds of all targets are compared; answer times change slowly.
-COMPARE_MS: typing.Final = 1000
+SPEED_INTERVAL_MS: typing.Final = 1000
 # After a pause of this VM, requests look overdue whose answers lie in the socket.
-AWAKE_MS: typing.Final = 1000
+PAUSE_GRACE_MS: typing.Final = 1000
 
 
 class Candidates(typing.NamedTuple):
@@ -34,8 +34,8 @@
         cold_left_out: True when cold targets were left out.
     """
 
-    items: list[placing.Candidate]
-    cold_left_out: bool = False
+    candidates: list[placing.Candidate]
+    cold_excluded: bool = False
 
 
 class Observations:
@@ -62,7 +62,7 @@
         self._vm = zlib.crc32(vm.encode())
         self._catalog = known
         self.tracker = tracker.Tracker()
-        self.speeds = speed.AnswerTimes()
+        self.answer_times = speed.AnswerTimes()
         self.response_times = response_time.ResponseTimes()
         self.ejections = ejection.OutlierEjection()
         self.refusals = overload.Refusals(refuse)
@@ -71,7 +71,7 @@
         self._woke_ms = 0
         self._paused_ms = 0
         self._kept_ms = 0
-        self._compared_ms = -COMPARE_MS
+        self._compared_ms = -SPEED_INTERVAL_MS
         self._silence: silence.SilenceDetector[int] = silence.SilenceDetector()
         self._stalled: silence.SilenceDetector[int] = silence.SilenceDetector()
         self._zone_silence: silence.SilenceDetector[str] = silence.SilenceDetector()
@@ -130,14 +130,14 @@
         others = [item for item in targets if item.cookie != passed_over]
         return elsewhere or others or targets
 
-    def placed(self, now_ms: int, target: model.Target) -> None:
+    def record_placement(self, now_ms: int, target: model.Target) -> None:
         """Note that a flow was sent to a target."""
         self._silence.tried(now_ms, target.cookie)
         self._stalled.tried(now_ms, target.cookie)
         self._zone_silence.tried(now_ms, target.zone)
         self.cold.opened(now_ms, target)
 
-    def answered(self, now_ms: int, target: model.Target) -> None:
+    def record_answer(self, now_ms: int, target: model.Target) -> None:
         """Note that a target answered."""
         self._answered_ms[target.zone] = now_ms
         self._silence.answered(target.cookie)
@@ -156,13 +156,13 @@
                 self._silence.answered(target.cookie)
                 self._stalled.answered(target.cookie)
 
-    def served(self, target: model.Target, answer_ms: int) -> None:
+    def record_answer_time(self, target: model.Target, answer_ms: int) -> None:
         """Note how long a target took for an answer."""
         self._stalled.answered(target.cookie)
-        self.speeds.answered(target.cookie, answer_ms)
+        self.answer_times.answered(target.cookie, answer_ms)
         self.response_times.answered(target.service, answer_ms)
 
-    def timed(
+    def record_objective(
         self,
         now_ms: int,
         route: model.Route,
@@ -185,24 +185,26 @@
         ratio = answer_ms / route.objective_ms
         self.refusals.answered(now_ms, pool, ratio, refused, levels)
 
-    def woke(self, now_ms: int) -> None:
+    def record_stall(self, now_ms: int) -> None:
         """Note that this VM has stood still until now."""
         self._woke_ms = now_ms
 
-    def paused(self, now_ms: int) -> None:
+    def record_pause(self, now_ms: int) -> None:
         """Note that this VM did nothing for a while, shorter than a stand-still."""
         self._paused_ms = now_ms
 
-    def unanswered(self, now_ms: int, target: model.Target) -> bool:
+    def record_unanswered(self, now_ms: int, target: model.Target) -> bool:
         """Note an unanswered packet; True when the target should be probed."""
         if target.zone != self._zone:
             self._zone_silence.unanswered(now_ms, target.zone)
         self._silence.unanswered(now_ms, target.cookie)
         # A VM of a large fleet has one flow on a target, and a second sign takes
         # 400 ms more; asking for a connection costs little and decides.
-        return self.probe_due(now_ms, target)
+        return self.begin_check(now_ms, target)
 
-    def overdue(self, now_ms: int) -> tuple[list[model.Target], list[ejection.Witness]]:
+    def take_overdue(
+        self, now_ms: int
+    ) -> tuple[list[model.Target], list[ejection.Witness]]:
         """Note requests that wait for too long.
 
         A target that hangs still opens flows, so that openings are no sign of life
@@ -219,16 +221,16 @@
                 continue
             item = ejection.Witness(request.cookie, self._vm, 0)
             sign = not request.moved and self._is_sign(now_ms, target)
-            if sign and self.witness(now_ms, item):
+            if sign and self.record_witness(now_ms, item):
                 witnesses.append(item)
             if request.first:
                 continue
             self._stalled.unanswered(now_ms, request.cookie)
-            if self.probe_due(now_ms, target):
+            if self.begin_check(now_ms, target):
                 found.append(target)
         return found, witnesses
 
-    def witness(self, now_ms: int, item: ejection.Witness) -> bool:
+    def record_witness(self, now_ms: int, item: ejection.Witness) -> bool:
         """Take a witness of this or another VM; True when others should hear of it."""
         if self._catalog.by_cookie(item.cookie) is None:
             return False
@@ -241,7 +243,7 @@
         Not when this VM did nothing for a while, when the way to the zone is cut, or
         when the service often takes that long.
         """
-        if now_ms - self._paused_ms < AWAKE_MS:
+        if now_ms - self._paused_ms < PAUSE_GRACE_MS:
             return False
         if self._zone_silence.silent(target.zone):
             return False
@@ -259,24 +261,26 @@
             allowed.update(self.ejections.allowed(now_ms, cookies))
         return [item for item in targets if item.cookie in allowed]
 
-    def recheck(self, now_ms: int, target: model.Target) -> bool:
+    def should_reprobe(self, now_ms: int, target: model.Target) -> bool:
         """Tell whether to probe a target that was dead and may be back."""
         lapsed = self.liveness.lapsed(now_ms, target.cookie)
-        return lapsed and self.probe_due(now_ms, target)
+        return lapsed and self.begin_check(now_ms, target)
 
-    def probe_due(self, now_ms: int, target: model.Target) -> bool:
+    def begin_check(self, now_ms: int, target: model.Target) -> bool:
         """Take up the check of a target in doubt; True when to probe it now."""
-        return self.liveness.begin(now_ms, target.cookie, self.path_ms(target))
+        return self.liveness.begin(now_ms, target.cookie, self.zone_answered_ms(target))
 
-    def path_ms(self, target: model.Target) -> int:
+    def zone_answered_ms(self, target: model.Target) -> int:
         """Return when a target of the same zone last answered."""
         return self._answered_ms.get(target.zone, knowledge.NEVER_MS)
 
-    def path_seen(self, now_ms: int, zone: str) -> None:
+    def record_zone_answer(self, now_ms: int, zone: str) -> None:
         """Note that a target of a zone has answered."""
         self._answered_ms[zone] = now_ms
 
-    def neighbour(self, now_ms: int, target: model.Target) -> model.Target | None:
+    def other_target_in_zone(
+        self, now_ms: int, target: model.Target
+    ) -> model.Target | None:
         """Return another target of the same zone that is not in doubt."""
         for item in self._catalog.targets:
             apart = item.zone != target.zone or item.cookie == target.cookie
@@ -289,14 +293,14 @@
         self.tracker.expire(now_ms)
         self.reports.tick(now_ms)
         cookies = {item.cookie for item in self._catalog.targets}
-        self.speeds.keep(cookies)
+        self.answer_times.keep(cookies)
         self._silence.keep(cookies)
         self._stalled.keep(cookies)
         self.liveness.keep(self._catalog.remembered)
         self.ejections.keep(now_ms, cookies)
         self.cold.limits.keep(cookies)
         self._keep_refusals(now_ms)
-        if now_ms - self._compared_ms >= COMPARE_MS:
+        if now_ms - self._compared_ms >= SPEED_INTERVAL_MS:
             self._compared_ms = now_ms
             self._compare_speeds()
 
@@ -308,7 +312,7 @@
             self._factors.update(speed.factors(means_ms))
 
     def _keep_refusals(self, now_ms: int) -> None:
-        if now_ms - self._kept_ms < FORGET_MS:
+        if now_ms - self._kept_ms < REMOVAL_INTERVAL_MS:
             return
         self._kept_ms = now_ms
         targets = self._catalog.targets
@@ -336,7 +340,7 @@
         return self._silence.silent(cookie) or self._stalled.silent(cookie)
 
     def _entry(self, cookie: int) -> reports.Entry:
-        mean_ms = self.speeds.mean_ms(cookie)
+        mean_ms = self.answer_times.mean_ms(cookie)
         return reports.Entry(
             cookie,
             self.tracker.flows_on(cookie),
@@ -367,6 +371,6 @@
 
     def _mean_ms(self, cookie: int) -> float | None:
         seen: typing.Sequence[float] = self.reports.answers_ms(cookie)
-        own_ms = self.speeds.mean_ms(cookie)
+        own_ms = self.answer_times.mean_ms(cookie)
         times_ms = [*seen, own_ms] if own_ms is not None else seen
         return sum(times_ms) / len(times_ms) if times_ms else None
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -134,7 +134,7 @@
             # first. At a second target the flow would be open twice.
             return self._passed_on(Outcome.PLACED, before, raw)
         decision = self._place(now_ms, route, flow, raw, copies, before)
-        if unanswered and self._observations.unanswered(now_ms, before):
+        if unanswered and self._observations.record_unanswered(now_ms, before):
             return decision._replace(probe=before)
         return decision
 
@@ -156,8 +156,8 @@
         found = self._observations.candidates(
             now_ms, service, passed_over, part, urgent
         )
-        candidates = found.items
-        withheld = self._withheld(service, found.cold_left_out)
+        candidates = found.candidates
+        withheld = self._withheld(service, found.cold_excluded)
         chosen = placing.choose(candidates, self._zone, draws)
         if chosen is None:
             return self._without_target(flow, withheld)
@@ -173,7 +173,7 @@
                 return Decision(Outcome.OVERLOADED, datagram, None, chosen)
             target = calm
         self._observations.tracker.placed(now_ms, flow, target.cookie, copies)
-        self._observations.placed(now_ms, target)
+        self._observations.record_placement(now_ms, target)
         outcome = Outcome.PLACED if silent is None else Outcome.PLACED_AGAIN
         return self._passed_on(outcome, target, raw)._replace(withheld=withheld)
 
@@ -252,7 +252,7 @@
             return Decision(Outcome.TARGET_DEAD, datagram, None, target)
         signal = self._observations.tracker.passed(now_ms, segment, cookie)
         probe = target if self._learn(now_ms, route, target, signal) else None
-        if self._observations.recheck(now_ms, target):
+        if self._observations.should_reprobe(now_ms, target):
             probe = target
         if cookie != segment.cookie:
             raw = self._codec.marked(raw, cookie)
@@ -286,12 +286,12 @@
     ) -> bool:
         probe = False
         if signal.opened or signal.answer_ms is not None:
-            self._observations.answered(now_ms, target)
+            self._observations.record_answer(now_ms, target)
         elif signal.repeated:
-            probe = self._observations.unanswered(now_ms, target)
+            probe = self._observations.record_unanswered(now_ms, target)
         if signal.answer_ms is not None:
-            self._observations.served(target, signal.answer_ms)
-            self._observations.timed(now_ms, route, target, signal)
+            self._observations.record_answer_time(target, signal.answer_ms)
+            self._observations.record_objective(now_ms, route, target, signal)
         return probe
 
 
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -218,7 +218,7 @@
 
     def _check(self) -> None:
         for vm in [] if self.off else self.vms:
-            targets, witnesses = vm.seen.overdue(self._due.now_ms)
+            targets, witnesses = vm.seen.take_overdue(self._due.now_ms)
             for target in targets:
                 self._due.later(PROBE_MS, self._probed, vm, target)
             if witnesses:
@@ -230,7 +230,7 @@
             if vm.zone == teller.zone and vm is not teller:
                 for item in witnesses:
                     aged = item._replace(age_ms=WITNESS_MS)
-                    vm.seen.witness(self._due.now_ms, aged)
+                    vm.seen.record_witness(self._due.now_ms, aged)
 
     def _exchange_reports(self) -> None:
         for number, vm in enumerate(self.vms):
@@ -242,10 +242,10 @@
 
     def _probed(self, vm: Vm, target: model.Target) -> None:
         accepted = self._accepts(vm, target)
-        neighbour = vm.seen.neighbour(self._due.now_ms, target)
+        neighbour = vm.seen.other_target_in_zone(self._due.now_ms, target)
         if not accepted and neighbour is not None and self._accepts(vm, neighbour):
-            vm.seen.path_seen(self._due.now_ms, target.zone)
-        path_ms = vm.seen.path_ms(target)
+            vm.seen.record_zone_answer(self._due.now_ms, target.zone)
+        path_ms = vm.seen.zone_answered_ms(target)
         dead = vm.seen.liveness.probed(
             self._due.now_ms, target.cookie, accepted, path_ms
         )
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -190,10 +190,10 @@
     """Guards against a crashed server that is back before its entry says so."""
     _settle(known)
     target = next(item for item in known.targets if item.name == "i-0a")
-    seen.path_seen(100, "z1")
-    assert seen.probe_due(100, target)
+    seen.record_zone_answer(100, "z1")
+    assert seen.begin_check(100, target)
     assert seen.liveness.probed(200, target.cookie, accepted=False, path_ms=150)
-    seen.answered(3000, target)
+    seen.record_answer(3000, target)
     assert known.cold_ms(target, 3000) == 2000
 
 
@@ -203,10 +203,10 @@
     """Guards against a server that crashed and is back before a probe found it dead."""
     _settle(known)
     target = next(item for item in known.targets if item.name == "i-0a")
-    seen.unanswered(100, target)
-    seen.unanswered(300, target)
+    seen.record_unanswered(100, target)
+    seen.record_unanswered(300, target)
     steering_parts.opened(steers, 400)
-    seen.answered(1000, target)
+    seen.record_answer(1000, target)
     for number in range(30):
         assert steering_parts.opened(steers, 1100, port=41_000 + number) != target
 
@@ -217,11 +217,11 @@
     """Guards against a VM that takes all targets for new when its link was cut."""
     _settle(known)
     for target in known.targets:
-        seen.unanswered(100, target)
-        seen.unanswered(300, target)
+        seen.record_unanswered(100, target)
+        seen.record_unanswered(300, target)
     steering_parts.opened(steers, 400)
     for target in known.targets:
-        seen.answered(1000, target)
+        seen.record_answer(1000, target)
     assert steering_parts.opened(steers, 1100, port=41_000)
 
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -298,7 +298,7 @@
 
     async def refused(*_: object) -> bool:
         time.sleep(blocked_s)
-        vm.vm._observations.answered(clock.now_ms() + 1, neighbour)
+        vm.vm._observations.record_answer(clock.now_ms() + 1, neighbour)
         return False
 
     monkeypatch.setattr(probing, "accepts", refused)
@@ -308,7 +308,7 @@
     turning.until(
         lambda: vm.vm._observations.tracker.open_on(first.cookie), "an open flow"
     )
-    vm.vm._observations.answered(clock.now_ms(), neighbour)
+    vm.vm._observations.record_answer(clock.now_ms(), neighbour)
     vm.vm._forwarder.check(first.cookie)
     lines: list[str] = []
     turning.until(lambda: lines.extend(vm.log()) or "target_" in str(lines), "a probe")
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -84,8 +84,8 @@
     _update(known, _order(9))
     elsewhere = next(t for t in known.targets if t.zone == "z2")
     for number in range(4):
-        seen.placed(20 * number, elsewhere)
-        seen.unanswered(20 * number + 5, elsewhere)
+        seen.record_placement(20 * number, elsewhere)
+        seen.record_unanswered(20 * number + 5, elsewhere)
     for port in range(41_000, 41_030):
         assert steering_parts.opened(steers, 100, port=port) == elsewhere
 
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -69,7 +69,7 @@
         assert (
             steering_parts.opened(steers, 201, copies=1, port=44_000 + number) == again
         )
-        seen.answered(202, first)
+        seen.record_answer(202, first)
 
 
 def test_copies_that_waited_in_a_queue_go_to_one_target(
--- a/tests/test_steering_silent.py
+++ b/tests/test_steering_silent.py
@@ -83,8 +83,8 @@
     ]
     known.update(0, knowledge.Merge(tuple(rows), 0))
     far = [item for item in known.accepting("desk") if item.zone == "z2"]
-    seen.unanswered(0, far[0])
-    seen.unanswered(0, far[1])
+    seen.record_unanswered(0, far[0])
+    seen.record_unanswered(0, far[1])
     own = [item for item in known.accepting("desk") if item.zone == "z1"]
     full = tuple(reports.Entry(item.cookie, 90, 0, False) for item in own)
     seen.reports.take(0, "10.0.0.8", full)
@@ -103,9 +103,9 @@
     If it refused every caller, none would come through when the link is back.
     """
     for target in known.accepting("desk"):
-        seen.unanswered(0, target)
-        seen.unanswered(0, target)
-    assert len(seen.candidates(10, "desk", 0, 0.5, True).items) == 3
+        seen.record_unanswered(0, target)
+        seen.record_unanswered(0, target)
+    assert len(seen.candidates(10, "desk", 0, 0.5, True).candidates) == 3
 
 
 def test_data_sent_again_and_again_tells_of_a_silent_target(
@@ -136,7 +136,7 @@
             neighbour = steering_parts.opened(
                 steers, now_ms, port=43_000 + len(seen.tracker)
             )
-        seen.answered(now_ms, neighbour)
+        seen.record_answer(now_ms, neighbour)
         decision = steering_parts.steer(steers, now_ms, raw)
     assert decision is not None
     assert decision.probe == first
@@ -166,7 +166,7 @@
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
     first = _crash(steers, seen)
-    seen.answered(720, first)
+    seen.record_answer(720, first)
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
     assert steering_parts.steer(steers, 730, raw).outcome is steering.Outcome.FORWARDED
 
@@ -195,7 +195,7 @@
     steers.reset_flows(first)
     now_ms = 470 + liveness.DEAD_MS
     neighbours = [item for item in known.accepting("desk") if item != first]
-    seen.answered(now_ms, neighbours[0])
+    seen.record_answer(now_ms, neighbours[0])
     raw = cookie_parts.packet(
         cookie_parts.ACK, 40_078, cookie=first.cookie, data=b"GET"
     )
@@ -293,11 +293,11 @@
         )
         steering_parts.steer(steers, now_ms, raw)
     if paused:
-        seen.paused(5390)
+        seen.record_pause(5390)
     if moved:
         raw = cookie_parts.packet(cookie_parts.ACK, 40_900, cookie=first.cookie)
         steering_parts.steer(steers, 5200, raw)
-    witnesses = seen.overdue(5400)[1]
+    witnesses = seen.take_overdue(5400)[1]
     assert bool(witnesses) == told
 
 
@@ -325,7 +325,7 @@
                 data=data,
             )
             steering_parts.steer(steers, now_ms, raw)
-    assert seen.overdue(600)[0] == [first]
+    assert seen.take_overdue(600)[0] == [first]
     assert all(
         steering_parts.opened(steers, 610, port=47_000 + n) != first for n in range(20)
     )
@@ -344,5 +344,5 @@
         first = steering_parts.opened(steers, port=44_000 + number)
         again = steering_parts.opened(steers, 200, copies=1, port=44_000 + number)
         assert again.zone != first.zone
-        seen.answered(201, first)
-        seen.answered(201, again)
+        seen.record_answer(201, first)
+        seen.record_answer(201, again)
