--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -248,7 +248,7 @@
         now_ms = clock.now_ms()
         self._stats.gauges.update(
             flows=len(self._observations.tracker),
-            flows_waiting=sum(self._observations.tracker.in_hand.values()),
+            flows_waiting=sum(self._observations.tracker.waiting_flows.values()),
             peers=len(self._gossip.peers),
             peer_reports=len(self._observations.reports),
             targets=len(self._catalog.targets),
--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -109,7 +109,7 @@
         The other VM may be cut off from it, so its word alone resets nothing.
         """
         target = self._catalog.by_cookie(cookie)
-        if target is None or not self._observations.tracker.open_on(cookie):
+        if target is None or not self._observations.tracker.open_flows(cookie):
             return
         if self._observations.begin_check(clock.now_ms(), target):
             defer.ensureDeferred(self._probe(target))
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -167,7 +167,7 @@
         now_ms: int,
         route: model.Route,
         target: model.Target,
-        signal: tracker.Signal,
+        signal: tracker.Measurement,
     ) -> None:
         """Note whether an answer came within its route's objective.
 
@@ -178,7 +178,7 @@
         if answer_ms is None or not route.objective_ms:
             return
         refused = self._sizes.refused(route.name, signal.answer_bytes)
-        if signal.resent or now_ms - answer_ms < self._woke_ms:
+        if signal.request_retransmitted or now_ms - answer_ms < self._woke_ms:
             return
         levels = self.levels.rank(target.service, route.priority).levels
         pool = overload.Pool(target.service, target.zone)
@@ -215,15 +215,15 @@
         """
         found = []
         witnesses = []
-        for request in self.tracker.overdue(now_ms):
+        for request in self.tracker.take_overdue(now_ms):
             target = self._catalog.by_cookie(request.cookie)
             if target is None:
                 continue
             item = ejection.Witness(request.cookie, self._vm, 0)
-            sign = not request.moved and self._is_sign(now_ms, target)
+            sign = not request.flows_moved and self._is_sign(now_ms, target)
             if sign and self.record_witness(now_ms, item):
                 witnesses.append(item)
-            if request.first:
+            if request.first_request:
                 continue
             self._stalled.unanswered(now_ms, request.cookie)
             if self.begin_check(now_ms, target):
@@ -366,7 +366,7 @@
             self.tracker.flows_on(cookie) + self.reports.flows_on(cookie),
             self._factors.get(cookie, 1.0),
             self._catalog.cold_ms(target, now_ms) > 0,
-            self.tracker.in_hand.get(cookie, 0),
+            self.tracker.waiting_flows.get(cookie, 0),
         )
 
     def _mean_ms(self, cookie: int) -> float | None:
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -127,7 +127,7 @@
         if record is None or before is None or self._is_dead(now_ms, before):
             return self._place(now_ms, route, flow, raw, copies, None)
         soon = now_ms - record.placed_ms < MIN_RETRANSMISSION_MS
-        unanswered = copies > record.copies
+        unanswered = copies > record.retransmissions
         moves = unanswered or self._catalog.evacuations.covers(before)
         if record.open or not moves or soon:
             # The network doubled the packet, or it waited in a queue behind the
@@ -172,7 +172,7 @@
                 datagram = self._codec.reset(flow, 0)
                 return Decision(Outcome.OVERLOADED, datagram, None, chosen)
             target = calm
-        self._observations.tracker.placed(now_ms, flow, target.cookie, copies)
+        self._observations.tracker.record_placement(now_ms, flow, target.cookie, copies)
         self._observations.record_placement(now_ms, target)
         outcome = Outcome.PLACED if silent is None else Outcome.PLACED_AGAIN
         return self._passed_on(outcome, target, raw)._replace(withheld=withheld)
@@ -250,7 +250,7 @@
             self._observations.tracker.forget(segment.flow)
             datagram = self._codec.reset(segment.flow, segment.acknowledged)
             return Decision(Outcome.TARGET_DEAD, datagram, None, target)
-        signal = self._observations.tracker.passed(now_ms, segment, cookie)
+        signal = self._observations.tracker.record_segment(now_ms, segment, cookie)
         probe = target if self._learn(now_ms, route, target, signal) else None
         if self._observations.should_reprobe(now_ms, target):
             probe = target
@@ -272,7 +272,7 @@
 
     def reset_flows(self, target: model.Target) -> list[tuple[model.FlowId, bytes]]:
         """Return a reset for each open flow of a target that is dead."""
-        flows = self._observations.tracker.open_on(target.cookie)
+        flows = self._observations.tracker.open_flows(target.cookie)
         for flow, _ in flows:
             self._observations.tracker.forget(flow)
         return [(flow, self._codec.reset(flow, at)) for flow, at in flows]
@@ -282,12 +282,12 @@
         now_ms: int,
         route: model.Route,
         target: model.Target,
-        signal: tracker.Signal,
+        signal: tracker.Measurement,
     ) -> bool:
         probe = False
         if signal.opened or signal.answer_ms is not None:
             self._observations.record_answer(now_ms, target)
-        elif signal.repeated:
+        elif signal.retransmitted:
             probe = self._observations.record_unanswered(now_ms, target)
         if signal.answer_ms is not None:
             self._observations.record_answer_time(target, signal.answer_ms)
--- a/eelgrasswick/cookie/tracker.py
+++ b/eelgrasswick/cookie/tracker.py
@@ -15,7 +15,7 @@
 MAX_FLOWS: typing.Final = 20_000
 # A flow that other VMs carry now is not seen here any more. Callers pause for
 # about a second between the requests of a long flow.
-IDLE_MS: typing.Final = 4000
+IDLE_TIMEOUT_MS: typing.Final = 4000
 # Longer times are pauses of the caller, not work of the target.
 MAX_SAMPLE_MS: typing.Final = 2000
 # A request that waits longer than this is overdue, if its flow's answers came
@@ -24,12 +24,12 @@
 OVERDUE_MS: typing.Final = 300
 # A caller that waits longer has given up, or its flow passes another VM by now.
 # Counted on, requests that nobody waits for would make their target look full.
-WAITING_MS: typing.Final = 2000
+MAX_WAIT_MS: typing.Final = 2000
 # Positions in a stream are counted modulo this.
 _SEQUENCES: typing.Final = 2**32
 
 
-class Signal(typing.NamedTuple):
+class Measurement(typing.NamedTuple):
     """What a segment told about its target.
 
     Attributes:
@@ -44,8 +44,8 @@
     opened: bool
     answer_ms: int | None
     answer_bytes: int
-    resent: bool
-    repeated: bool
+    request_retransmitted: bool
+    retransmitted: bool
 
 
 class Overdue(typing.NamedTuple):
@@ -60,8 +60,8 @@
     """
 
     cookie: int
-    first: bool
-    moved: bool = False
+    first_request: bool
+    flows_moved: bool = False
 
 
 class Record:
@@ -80,16 +80,16 @@
 
     __slots__ = (
         "acknowledged",
-        "asked_ack",
-        "asked_ms",
+        "request_acknowledged",
+        "request_ms",
         "cookie",
-        "copies",
+        "retransmissions",
         "data_end",
         "open",
         "placed_here",
         "placed_ms",
-        "prompt",
-        "resent",
+        "answered_promptly",
+        "request_retransmitted",
     )
 
     def __init__(self, cookie: int, placed_here: bool) -> None:
@@ -97,14 +97,14 @@
         self.cookie = cookie
         self.open = False
         self.placed_here = placed_here
-        self.copies = 0
+        self.retransmissions = 0
         self.placed_ms = 0
-        self.asked_ms = 0
-        self.asked_ack = 0
+        self.request_ms = 0
+        self.request_acknowledged = 0
         self.data_end = 0
         self.acknowledged = 0
-        self.prompt: bool | None = None
-        self.resent = False
+        self.answered_promptly: bool | None = None
+        self.request_retransmitted = False
 
 
 class Tracker:
@@ -137,7 +137,7 @@
         return self._flows[cookie]
 
     @property
-    def in_hand(self) -> typing.Mapping[int, int]:
+    def waiting_flows(self) -> typing.Mapping[int, int]:
         """How many flows wait for an answer, by target.
 
         A flow that is being opened counts, as its caller is about to ask.
@@ -152,7 +152,9 @@
         """Return what is remembered of a flow."""
         return self._records.get(flow)
 
-    def placed(self, now_ms: int, flow: model.FlowId, cookie: int, copies: int) -> None:
+    def record_placement(
+        self, now_ms: int, flow: model.FlowId, cookie: int, copies: int
+    ) -> None:
         """Note that a flow's opening packet went to a target.
 
         Args:
@@ -169,10 +171,12 @@
             self._touch(now_ms, flow)
             self._move(flow, record, cookie)
         self._wait(now_ms, flow, record)
-        record.copies = copies
+        record.retransmissions = copies
         record.placed_ms = now_ms
 
-    def passed(self, now_ms: int, segment: model.Segment, cookie: int) -> Signal:
+    def record_segment(
+        self, now_ms: int, segment: model.Segment, cookie: int
+    ) -> Measurement:
         """Note that a segment of an open flow went to a target."""
         record = self._records.get(segment.flow)
         if record is None:
@@ -187,16 +191,18 @@
             self._move(segment.flow, record, cookie)
             self._answered(segment.flow, cookie)
         record.acknowledged = segment.acknowledged
-        before_ms = record.asked_ms
-        answer_bytes = (segment.acknowledged - record.asked_ack) % _SEQUENCES
+        before_ms = record.request_ms
+        answer_bytes = (segment.acknowledged - record.request_acknowledged) % _SEQUENCES
         answer_ms, repeated = _timing(now_ms, record, segment)
-        signal = Signal(opened, answer_ms, answer_bytes, record.resent, repeated)
-        record.resent = repeated
-        if record.asked_ms != before_ms:
+        signal = Measurement(
+            opened, answer_ms, answer_bytes, record.request_retransmitted, repeated
+        )
+        record.request_retransmitted = repeated
+        if record.request_ms != before_ms:
             self._asked.pop(segment.flow, None)
             self._answered(segment.flow, record.cookie)
-            if record.asked_ms:
-                self._asked[segment.flow] = record.asked_ms
+            if record.request_ms:
+                self._asked[segment.flow] = record.request_ms
                 self._wait(now_ms, segment.flow, record)
         elif segment.data_bytes and not repeated and segment.flow in self._asked:
             # The request is still being sent, and its answer is not due yet.
@@ -206,7 +212,7 @@
             self._drop(segment.flow)
         return signal
 
-    def overdue(self, now_ms: int) -> list[Overdue]:
+    def take_overdue(self, now_ms: int) -> list[Overdue]:
         """Return the requests that wait for too long.
 
         A request is told of once, however often its packet is sent again.
@@ -221,12 +227,14 @@
                 break
             del self._asked[flow]
             record = self._records[flow]
-            if record.prompt is not False:
+            if record.answered_promptly is not False:
                 moved = self._moved_ms > asked_ms
-                found.append(Overdue(record.cookie, record.prompt is None, moved))
+                found.append(
+                    Overdue(record.cookie, record.answered_promptly is None, moved)
+                )
         return found
 
-    def open_on(self, cookie: int) -> list[tuple[model.FlowId, int]]:
+    def open_flows(self, cookie: int) -> list[tuple[model.FlowId, int]]:
         """Return the open flows of a target, and what their callers acknowledged."""
         return [
             (flow, record.acknowledged)
@@ -243,12 +251,12 @@
         """Forget flows that were not seen for a while."""
         while self._records:
             flow = next(iter(self._records))
-            if now_ms - self._seen_ms[flow] < IDLE_MS:
+            if now_ms - self._seen_ms[flow] < IDLE_TIMEOUT_MS:
                 break
             self._drop(flow)
         while self._waiting:
             flow, since_ms = next(iter(self._waiting.items()))
-            if now_ms - since_ms < WAITING_MS:
+            if now_ms - since_ms < MAX_WAIT_MS:
                 break
             self._answered(flow, self._records[flow].cookie)
 
@@ -300,20 +308,20 @@
     now_ms: int, record: Record, segment: model.Segment
 ) -> tuple[int | None, bool]:
     answer_ms = None
-    if record.asked_ms and segment.acknowledged != record.asked_ack:
-        waited_ms = now_ms - record.asked_ms
-        record.prompt = waited_ms <= OVERDUE_MS
+    if record.request_ms and segment.acknowledged != record.request_acknowledged:
+        waited_ms = now_ms - record.request_ms
+        record.answered_promptly = waited_ms <= OVERDUE_MS
         # An acknowledgement that comes with the next request has waited for it, so
         # that its time is the caller's pause and no work of the target.
         if waited_ms <= MAX_SAMPLE_MS and not segment.data_bytes:
             answer_ms = waited_ms
-        record.asked_ms = 0
+        record.request_ms = 0
     if not segment.data_bytes:
         return answer_ms, False
     end = segment.sequence + segment.data_bytes
     repeated = end == record.data_end
     record.data_end = end
-    if not record.asked_ms:
-        record.asked_ms = now_ms
-        record.asked_ack = segment.acknowledged
+    if not record.request_ms:
+        record.request_ms = now_ms
+        record.request_acknowledged = segment.acknowledged
     return answer_ms, repeated
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -306,7 +306,7 @@
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
     _send(vm, raw)
     turning.until(
-        lambda: vm.vm._observations.tracker.open_on(first.cookie), "an open flow"
+        lambda: vm.vm._observations.tracker.open_flows(first.cookie), "an open flow"
     )
     vm.vm._observations.record_answer(clock.now_ms(), neighbour)
     vm.vm._forwarder.check(first.cookie)
--- a/tests/test_placing_cost.py
+++ b/tests/test_placing_cost.py
@@ -98,5 +98,5 @@
     made = observations.Observations("z1", known)
     target = next(iter(known.targets))
     flow = model.FlowId(bytes(4), 1, cookie_scenario.SERVICE_IP, 443)
-    made.tracker.placed(0, flow, target.cookie, 0)
+    made.tracker.record_placement(0, flow, target.cookie, 0)
     assert [entry.cookie for entry in made.report()] == [target.cookie]
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -262,7 +262,7 @@
     assert decision.outcome is steering.Outcome.OVERLOADED
     assert decision.address is None
     assert decision.datagram is not None
-    assert seen.tracker.in_hand == {}
+    assert seen.tracker.waiting_flows == {}
 
 
 def test_copy_of_an_opening_packet_is_not_refused(
