--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -99,7 +99,9 @@
             part: Even over flows, 0 to 1; says which of many are looked at.
             urgent: True for the most urgent flows of the service.
         """
-        accepting = placing.windows(self._catalog.accepting(service), self._zone, part)
+        accepting = placing.sample_targets(
+            self._catalog.accepting(service), self._zone, part
+        )
         usable = []
         for item in self._not_ejected(now_ms, accepting):
             if self._suspected(now_ms, item):
--- a/eelgrasswick/cookie/placing.py
+++ b/eelgrasswick/cookie/placing.py
@@ -24,11 +24,11 @@
 SPILL_SLACK: typing.Final = 2.0
 # Part of the time for which a flow waits for an answer: callers pause for some
 # hundred milliseconds between the requests of a long flow.
-DUTY: typing.Final = 0.1
+WAITING_SHARE: typing.Final = 0.1
 # So many targets of the own zone, and of the others, are looked at for one flow. Two
 # are compared, and the mean fill of so many is known well enough to spill by. Looking
 # at thousands would hold up the packets behind.
-WINDOW: typing.Final = 64
+SAMPLE_SIZE: typing.Final = 64
 # Part of its usual speed at which a server works that has just started.
 COLD_FACTOR: typing.Final = 0.6
 
@@ -60,26 +60,26 @@
 
     target: model.Target
     flows: float
-    speed: float
+    speed_factor: float
     cold: bool
-    in_hand: int = 0
+    waiting_flows: int = 0
 
     @property
-    def strength(self) -> float:
+    def capacity(self) -> float:
         """Requests it works on at the speed of a usual slot."""
         cold = COLD_FACTOR if self.cold else 1.0
-        return max(1, self.target.slots) * self.speed * cold
+        return max(1, self.target.slots) * self.speed_factor * cold
 
     @property
-    def wait(self) -> float:
+    def load(self) -> float:
         """Requests that one more would wait with, for each unit of strength.
 
         Those of other VMs are not known but from their flows.
         """
-        return (1 + self.in_hand + DUTY * self.flows) / self.strength
+        return (1 + self.waiting_flows + WAITING_SHARE * self.flows) / self.capacity
 
 
-def choose(
+def choose_target(
     candidates: typing.Sequence[Candidate], zone: str, draws: Draws
 ) -> model.Target | None:
     """Choose the target of a new flow.
@@ -102,7 +102,7 @@
     return _less_full(chosen, draws).target
 
 
-def windows(
+def sample_targets(
     targets: typing.Sequence[model.Target], zone: str, part: float
 ) -> list[model.Target]:
     """Return the targets that are looked at for a flow, the own zone's in front.
@@ -134,16 +134,16 @@
 
 
 def _window(targets: list[model.Target], part: float) -> list[model.Target]:
-    if len(targets) <= WINDOW:
+    if len(targets) <= SAMPLE_SIZE:
         return targets
     start = int(part * len(targets))
-    found = targets[start : start + WINDOW]
-    return found + targets[: WINDOW - len(found)]
+    found = targets[start : start + SAMPLE_SIZE]
+    return found + targets[: SAMPLE_SIZE - len(found)]
 
 
 def _fill(candidates: typing.Sequence[Candidate]) -> float:
     flows = sum(item.flows for item in candidates)
-    return flows / sum(item.strength for item in candidates)
+    return flows / sum(item.capacity for item in candidates)
 
 
 def _less_full(candidates: typing.Sequence[Candidate], draws: Draws) -> Candidate:
@@ -152,4 +152,4 @@
         return candidates[first]
     step = 1 + int(draws.second * (len(candidates) - 1)) % (len(candidates) - 1)
     second = (first + step) % len(candidates)
-    return min(candidates[first], candidates[second], key=lambda item: item.wait)
+    return min(candidates[first], candidates[second], key=lambda item: item.load)
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -158,14 +158,14 @@
         )
         candidates = found.candidates
         withheld = self._withheld(service, found.cold_excluded)
-        chosen = placing.choose(candidates, self._zone, draws)
+        chosen = placing.choose_target(candidates, self._zone, draws)
         if chosen is None:
             return self._without_target(flow, withheld)
         target = chosen
         # Only a first opening packet is refused. Where a copy comes, a target may have
         # taken the one before, and the caller may be about to ask it.
         if not copies and self._is_refused(now_ms, route, chosen, draws):
-            calm = placing.choose(self._calm(candidates), self._zone, draws)
+            calm = placing.choose_target(self._calm(candidates), self._zone, draws)
             if calm is None:
                 # No target saw it, so that it has not run. Let in, it would be late
                 # and make the next ones late, too.
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -27,13 +27,13 @@
     rng = random.Random(1)
     for _ in range(flows):
         draws = placing.Draws(rng.random(), rng.random())
-        target = placing.choose(candidates, zone, draws)
+        target = placing.choose_target(candidates, zone, draws)
         assert target is not None
         placed[target.name] += 1
         candidates = [
             item._replace(
                 flows=item.flows + (item.target == target),
-                in_hand=item.in_hand + (item.target == target),
+                waiting_flows=item.waiting_flows + (item.target == target),
             )
             for item in candidates
         ]
@@ -81,7 +81,7 @@
 
 
 def test_nothing_without_candidates() -> None:
-    assert placing.choose([], "z1", placing.Draws(0.5, 0.5)) is None
+    assert placing.choose_target([], "z1", placing.Draws(0.5, 0.5)) is None
 
 
 def test_shares_of_a_route() -> None:
--- a/tests/test_placing_cost.py
+++ b/tests/test_placing_cost.py
@@ -82,9 +82,9 @@
     accepting = known.accepting(cookie_scenario.SERVICE)
     looked_at: collections.Counter[int] = collections.Counter()
     for step in range(1000):
-        found = placing.windows(accepting, "z1", step / 1000)
-        assert len(found) == len(set(found)) == 2 * placing.WINDOW
-        assert sum(item.zone == "z1" for item in found) == placing.WINDOW
+        found = placing.sample_targets(accepting, "z1", step / 1000)
+        assert len(found) == len(set(found)) == 2 * placing.SAMPLE_SIZE
+        assert sum(item.zone == "z1" for item in found) == placing.SAMPLE_SIZE
         looked_at.update(item.cookie for item in found)
     own = [looked_at[item.cookie] for item in accepting if item.zone == "z1"]
     assert max(own) < 1.1 * min(own)
