--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -161,7 +161,7 @@
     def record_answer_time(self, target: model.Target, answer_ms: int) -> None:
         """Note how long a target took for an answer."""
         self._stalled.answered(target.cookie)
-        self.answer_times.answered(target.cookie, answer_ms)
+        self.answer_times.record(target.cookie, answer_ms)
         self.response_times.answered(target.service, answer_ms)
 
     def record_objective(
@@ -311,7 +311,7 @@
         for service in {item.service for item in self._catalog.targets}:
             accepting = self._catalog.accepting(service)
             means_ms = {item.cookie: self._mean_ms(item.cookie) for item in accepting}
-            self._factors.update(speed.factors(means_ms))
+            self._factors.update(speed.speed_factors(means_ms))
 
     def _keep_refusals(self, now_ms: int) -> None:
         if now_ms - self._kept_ms < REMOVAL_INTERVAL_MS:
--- a/eelgrasswick/cookie/speed.py
+++ b/eelgrasswick/cookie/speed.py
@@ -10,13 +10,13 @@
 
 SMOOTHING: typing.Final = 0.1
 # Answers before a mean counts; work times differ by half of their mean.
-ENOUGH: typing.Final = 8
+MIN_SAMPLES: typing.Final = 8
 # What a target can gain or lose by few answers, or late ones, at most.
-LOWEST: typing.Final = 0.35
-HIGHEST: typing.Final = 1.6
+MIN_FACTOR: typing.Final = 0.35
+MAX_FACTOR: typing.Final = 1.6
 
 
-class Answers(typing.NamedTuple):
+class SmoothedAnswerTime(typing.NamedTuple):
     """Smoothed answer time of a target.
 
     Attributes:
@@ -33,24 +33,24 @@
 
     def __init__(self) -> None:
         """Know no target."""
-        self._answers: dict[int, Answers] = {}
+        self._answers: dict[int, SmoothedAnswerTime] = {}
 
-    def answered(self, cookie: int, answer_ms: int) -> None:
+    def record(self, cookie: int, answer_ms: int) -> None:
         """Note how long an answer took."""
         known = self._answers.get(cookie)
         if known is None:
-            self._answers[cookie] = Answers(float(answer_ms), 1)
+            self._answers[cookie] = SmoothedAnswerTime(float(answer_ms), 1)
             return
         # The first answers are averaged, so that one slow one at the start does
         # not count for long.
         part = max(SMOOTHING, 1 / (known.samples + 1))
         mean_ms = known.mean_ms + part * (answer_ms - known.mean_ms)
-        self._answers[cookie] = Answers(mean_ms, known.samples + 1)
+        self._answers[cookie] = SmoothedAnswerTime(mean_ms, known.samples + 1)
 
     def mean_ms(self, cookie: int) -> float | None:
         """Return a target's smoothed answer time, once enough is known."""
         known = self._answers.get(cookie)
-        if known is None or known.samples < ENOUGH:
+        if known is None or known.samples < MIN_SAMPLES:
             return None
         return max(1.0, known.mean_ms)
 
@@ -60,7 +60,7 @@
             del self._answers[cookie]
 
 
-def factors(means_ms: typing.Mapping[int, float | None]) -> dict[int, float]:
+def speed_factors(means_ms: typing.Mapping[int, float | None]) -> dict[int, float]:
     """Return what each target's slots are to be multiplied with.
 
     Args:
@@ -82,4 +82,4 @@
 
 
 def _factor(usual_ms: float, mean_ms: float) -> float:
-    return max(LOWEST, min(HIGHEST, usual_ms / mean_ms))
+    return max(MIN_FACTOR, min(MAX_FACTOR, usual_ms / mean_ms))
