--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -134,19 +134,19 @@
 
     def record_placement(self, now_ms: int, target: model.Target) -> None:
         """Note that a flow was sent to a target."""
-        self._silence.tried(now_ms, target.cookie)
-        self._stalled.tried(now_ms, target.cookie)
-        self._zone_silence.tried(now_ms, target.zone)
+        self._silence.record_trial(now_ms, target.cookie)
+        self._stalled.record_trial(now_ms, target.cookie)
+        self._zone_silence.record_trial(now_ms, target.zone)
         self.cold.opened(now_ms, target)
 
     def record_answer(self, now_ms: int, target: model.Target) -> None:
         """Note that a target answered."""
         self._answered_ms[target.zone] = now_ms
-        self._silence.answered(target.cookie)
+        self._silence.record_answer(target.cookie)
         if self.liveness.answered(target.cookie):
             # It may have crashed and be back under its entry of before.
             self._catalog.ages.started(now_ms, target.cookie)
-        if self._zone_silence.answered(target.zone):
+        if self._zone_silence.record_answer(target.zone):
             self._way_is_back(target.zone)
 
     def _way_is_back(self, zone: str) -> None:
@@ -155,12 +155,12 @@
         # the VMs that this one tells would pass them over, too.
         for target in self._catalog.targets:
             if target.zone == zone:
-                self._silence.answered(target.cookie)
-                self._stalled.answered(target.cookie)
+                self._silence.record_answer(target.cookie)
+                self._stalled.record_answer(target.cookie)
 
     def record_answer_time(self, target: model.Target, answer_ms: int) -> None:
         """Note how long a target took for an answer."""
-        self._stalled.answered(target.cookie)
+        self._stalled.record_answer(target.cookie)
         self.answer_times.record(target.cookie, answer_ms)
         self.response_times.answered(target.service, answer_ms)
 
@@ -198,8 +198,8 @@
     def record_unanswered(self, now_ms: int, target: model.Target) -> bool:
         """Note an unanswered packet; True when the target should be probed."""
         if target.zone != self._zone:
-            self._zone_silence.unanswered(now_ms, target.zone)
-        self._silence.unanswered(now_ms, target.cookie)
+            self._zone_silence.record_unanswered(now_ms, target.zone)
+        self._silence.record_unanswered(now_ms, target.cookie)
         # A VM of a large fleet has one flow on a target, and a second sign takes
         # 400 ms more; asking for a connection costs little and decides.
         return self.begin_check(now_ms, target)
@@ -227,7 +227,7 @@
                 witnesses.append(item)
             if request.first_request:
                 continue
-            self._stalled.unanswered(now_ms, request.cookie)
+            self._stalled.record_unanswered(now_ms, request.cookie)
             if self.begin_check(now_ms, target):
                 found.append(target)
         return found, witnesses
--- a/eelgrasswick/cookie/silence.py
+++ b/eelgrasswick/cookie/silence.py
@@ -21,9 +21,9 @@
 Key = typing.TypeVar("Key", int, str)
 
 # Packets in a row, of this VM or by the word of others.
-ENOUGH: typing.Final = 2
+SILENT_AFTER_PACKETS: typing.Final = 2
 # A silent target is tried with one flow each time this has passed.
-TRIAL_MS: typing.Final = 1000
+TRIAL_INTERVAL_MS: typing.Final = 1000
 
 
 class _State:
@@ -42,23 +42,23 @@
         """Begin with everyone answering."""
         self._observations: dict[Key, _State] = {}
 
-    def answered(self, key: Key) -> bool:
+    def record_answer(self, key: Key) -> bool:
         """Note an answer; True when it was passed over."""
         state = self._observations.pop(key, None)
-        return state is not None and state.unanswered >= ENOUGH
+        return state is not None and state.unanswered >= SILENT_AFTER_PACKETS
 
-    def unanswered(self, now_ms: int, key: Key) -> bool:
+    def record_unanswered(self, now_ms: int, key: Key) -> bool:
         """Note an unanswered packet; True when it is passed over from now on."""
         state = self._observations.setdefault(key, _State())
         state.unanswered += 1
         state.last_ms = now_ms
         state.trial_ms = now_ms
-        return state.unanswered == ENOUGH
+        return state.unanswered == SILENT_AFTER_PACKETS
 
     def silent(self, key: Key) -> bool:
         """Tell whether this VM itself takes one for silent."""
         state = self._observations.get(key)
-        return state is not None and state.unanswered >= ENOUGH
+        return state is not None and state.unanswered >= SILENT_AFTER_PACKETS
 
     def keys(self) -> typing.AbstractSet[Key]:
         """Return those that left something unanswered."""
@@ -74,16 +74,16 @@
         """
         state = self._observations.get(key)
         own = state.unanswered if state is not None else 0
-        if own + witnesses < ENOUGH:
+        if own + witnesses < SILENT_AFTER_PACKETS:
             return False
         if state is None:
             return True
-        return now_ms - state.trial_ms < TRIAL_MS
+        return now_ms - state.trial_ms < TRIAL_INTERVAL_MS
 
-    def tried(self, now_ms: int, key: Key) -> None:
+    def record_trial(self, now_ms: int, key: Key) -> None:
         """Note that a flow was placed there."""
         state = self._observations.get(key)
-        if state is not None and state.unanswered >= ENOUGH:
+        if state is not None and state.unanswered >= SILENT_AFTER_PACKETS:
             state.trial_ms = now_ms
 
     def keep(self, keys: typing.Collection[Key]) -> None:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -12,9 +12,9 @@
 
 def test_silent_target_is_passed_over(book: silence.SilenceDetector) -> None:
     """A server crashed without a word; its entry is still in the store."""
-    assert not book.unanswered(0, 7)
+    assert not book.record_unanswered(0, 7)
     assert not book.suspected(0, 7, 0)
-    assert book.unanswered(1, 7)
+    assert book.record_unanswered(1, 7)
     assert book.suspected(1, 7, 0)
 
 
@@ -24,13 +24,13 @@
     A target that was passed over for it would be missing for nothing.
     """
     for now_ms in range(10):
-        book.unanswered(now_ms, 7)
+        book.record_unanswered(now_ms, 7)
         assert not book.suspected(now_ms, 7, 0)
-        book.answered(7)
+        book.record_answer(7)
 
 
 def test_another_vm_is_a_witness(book: silence.SilenceDetector) -> None:
-    book.unanswered(0, 7)
+    book.record_unanswered(0, 7)
     assert book.suspected(0, 7, 1)
     assert not book.suspected(0, 8, 1)
     assert book.suspected(0, 8, 2)
@@ -43,17 +43,17 @@
 
     If all flows tried it at once, all would wait when it did not.
     """
-    book.unanswered(0, 7)
-    book.unanswered(0, 7)
-    assert not book.suspected(silence.TRIAL_MS, 7, 0)
-    book.tried(silence.TRIAL_MS, 7)
-    assert book.suspected(silence.TRIAL_MS, 7, 0)
-    assert book.answered(7)
-    assert not book.suspected(silence.TRIAL_MS, 7, 0)
+    book.record_unanswered(0, 7)
+    book.record_unanswered(0, 7)
+    assert not book.suspected(silence.TRIAL_INTERVAL_MS, 7, 0)
+    book.record_trial(silence.TRIAL_INTERVAL_MS, 7)
+    assert book.suspected(silence.TRIAL_INTERVAL_MS, 7, 0)
+    assert book.record_answer(7)
+    assert not book.suspected(silence.TRIAL_INTERVAL_MS, 7, 0)
 
 
 def test_forgets_targets_that_left(book: silence.SilenceDetector) -> None:
-    book.unanswered(0, 7)
-    book.unanswered(0, 7)
+    book.record_unanswered(0, 7)
+    book.record_unanswered(0, 7)
     book.keep([])
     assert not book.silent(7)
--- a/tests/test_steering_silent.py
+++ b/tests/test_steering_silent.py
@@ -329,7 +329,7 @@
     assert all(
         steering_parts.opened(steers, 610, port=47_000 + n) != first for n in range(20)
     )
-    trial_ms = 600 + silence.TRIAL_MS
+    trial_ms = 600 + silence.TRIAL_INTERVAL_MS
     assert any(
         steering_parts.opened(steers, trial_ms, port=48_000 + n) == first
         for n in range(20)
