--- a/eelgrasswick/cookie/catalog.py
+++ b/eelgrasswick/cookie/catalog.py
@@ -235,7 +235,7 @@
     def _note_age(self, now_ms: int, row: source.Row, watched: bool) -> None:
         target = self._by_name.get(row.key)
         if target is not None:
-            self.ages.seen(now_ms, target, watched)
+            self.ages.record_entry(now_ms, target, watched)
 
     def _take_evacuation(self, now_ms: int, row: source.Row) -> Note:
         if row.value is None:
@@ -244,7 +244,7 @@
             # They may have been started anew meanwhile, and their entries are late.
             for target in self.targets:
                 if target.zone == zone:
-                    self.ages.started(now_ms, target.cookie)
+                    self.ages.record_start(now_ms, target.cookie)
             return Note("evacuation_over", {"zone": zone, "revision": row.revision})
         try:
             item = self._reader.evacuation(row)
--- a/eelgrasswick/cookie/cold_targets.py
+++ b/eelgrasswick/cookie/cold_targets.py
@@ -38,7 +38,7 @@
         self._ages: dict[int, Age] = {}
         self._suspected_ms: dict[int, int] = {}
 
-    def seen(self, now_ms: int, target: model.Target, watched: bool) -> None:
+    def record_entry(self, now_ms: int, target: model.Target, watched: bool) -> None:
         """Note an entry.
 
         Args:
@@ -55,11 +55,11 @@
         if age_ms >= 0:
             self._ages[target.cookie] = Age(now_ms, age_ms)
 
-    def started(self, now_ms: int, cookie: int) -> None:
+    def record_start(self, now_ms: int, cookie: int) -> None:
         """Take a target for one that starts now."""
         self._ages[cookie] = Age(now_ms, 0)
 
-    def suspected(self, now_ms: int, cookie: int) -> None:
+    def record_suspicion(self, now_ms: int, cookie: int) -> None:
         """Note a target that is taken for silent; it may be about to start anew."""
         self._suspected_ms[cookie] = now_ms
 
@@ -88,7 +88,7 @@
     """
 
     targets: typing.Sequence[model.Target]
-    left_out: bool
+    cold_excluded: bool
 
 
 class ColdTargets:
@@ -114,7 +114,7 @@
         self._cold_ms = cold_ms
         self._ages = ages
 
-    def per_s(self, name: str) -> float | None:
+    def limit_per_s(self, name: str) -> float | None:
         """Return what a service's cold targets bear; None without a limit."""
         service = self._service_of(name)
         return service.cold_flows_per_s if service is not None else None
@@ -132,7 +132,7 @@
             targets: Targets of one service, at least one.
             urgent: True for the most urgent flows of the service.
         """
-        per_s = self.per_s(targets[0].service)
+        per_s = self.limit_per_s(targets[0].service)
         if per_s is None:
             return Eligible(targets, False)
         warm = [item for item in targets if not self._cold_ms(item, now_ms)]
@@ -155,7 +155,9 @@
             return False
         return cleared_ms < service.cold_ms
 
-    def opened(self, now_ms: int, target: model.Target) -> None:
+    def record_flow(self, now_ms: int, target: model.Target) -> None:
         """Note a flow to a target."""
-        if self.per_s(target.service) is not None and self._cold_ms(target, now_ms):
+        if self.limit_per_s(target.service) is not None and self._cold_ms(
+            target, now_ms
+        ):
             self.limits.opened(now_ms, target.cookie)
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -105,7 +105,7 @@
         usable = []
         for item in self._not_ejected(now_ms, accepting):
             if self._suspected(now_ms, item):
-                self._catalog.ages.suspected(now_ms, item.cookie)
+                self._catalog.ages.record_suspicion(now_ms, item.cookie)
             else:
                 usable.append(item)
         # With all silent it is rather this VM's link, or the callers', that is
@@ -116,7 +116,7 @@
         found = self.cold.eligible(now_ms, usable, urgent)
         tried = self._retried(found.targets, passed_over)
         items = [self._candidate(now_ms, item) for item in tried]
-        return Candidates(items, found.left_out)
+        return Candidates(items, found.cold_excluded)
 
     def _retried(
         self, targets: typing.Sequence[model.Target], passed_over: int
@@ -137,7 +137,7 @@
         self._silence.record_trial(now_ms, target.cookie)
         self._stalled.record_trial(now_ms, target.cookie)
         self._zone_silence.record_trial(now_ms, target.zone)
-        self.cold.opened(now_ms, target)
+        self.cold.record_flow(now_ms, target)
 
     def record_answer(self, now_ms: int, target: model.Target) -> None:
         """Note that a target answered."""
@@ -145,7 +145,7 @@
         self._silence.record_answer(target.cookie)
         if self.liveness.answered(target.cookie):
             # It may have crashed and be back under its entry of before.
-            self._catalog.ages.started(now_ms, target.cookie)
+            self._catalog.ages.record_start(now_ms, target.cookie)
         if self._zone_silence.record_answer(target.zone):
             self._way_is_back(target.zone)
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -231,7 +231,7 @@
     (target, *_) = cookie_parts.known(
         _config(1), cookie_parts.target_row("i-0a", 2)
     ).targets
-    ages.seen(0, target, watched=False)
+    ages.record_entry(0, target, watched=False)
     assert ages.age_ms(0, target.cookie) is None
 
 
@@ -241,7 +241,7 @@
     (target, *_) = cookie_parts.known(
         _config(1), cookie_parts.target_row("i-0a", 2)
     ).targets
-    ages.seen(0, target, watched=False)
+    ages.record_entry(0, target, watched=False)
     assert ages.age_ms(100, target.cookie) == 600
 
 
