--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -98,7 +98,7 @@
     def wake(self) -> int:
         """Return the present time; notice when this VM has stood still."""
         now_ms = clock.now_ms()
-        gap_ms = self.stalls.awake(now_ms)
+        gap_ms = self.stalls.record_activity(now_ms)
         if gap_ms > stall.PROBE_GAP_MS:
             self._observations.record_pause(now_ms)
         if gap_ms > stall.STALL_MS:
--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -58,10 +58,10 @@
             await self._look_for_path(now_ms, target)
         path_ms = self._observations.zone_answered_ms(target)
         ended_ms = clock.now_ms()
-        if self._carrier.stalls.since(now_ms, ended_ms):
+        if self._carrier.stalls.gap_since(now_ms, ended_ms):
             # The probe may have timed out with its answer unread.
             path_ms, missing = knowledge.NEVER_MS, False
-        dead = self._observations.liveness.probed(
+        dead = self._observations.liveness.record_probe(
             ended_ms, target.cookie, accepted, path_ms, missing
         )
         self._stats.counts["targets_probed"] += 1
@@ -87,7 +87,7 @@
             if await probing.accepts(self._reactor, neighbour.address):
                 self._observations.record_zone_answer(clock.now_ms(), target.zone)
             return
-        await probing.path_known(
+        await probing.wait_for_zone_answer(
             self._reactor,
             lambda: self._observations.zone_answered_ms(target) > since_ms,
         )
--- a/eelgrasswick/cookie/liveness.py
+++ b/eelgrasswick/cookie/liveness.py
@@ -16,14 +16,14 @@
 import typing
 
 # How lately another target of the zone must have answered for a probe to make sense.
-PATH_MS: typing.Final = 1000
+MAX_ZONE_ANSWER_AGE_MS: typing.Final = 1000
 # A target that accepted a connection is not asked again for so long.
-AGAIN_MS: typing.Final = 1500
+RECHECK_INTERVAL_MS: typing.Final = 1500
 # How long a target stays dead by one probe. A server whose own link was cut looks
 # just like one that crashed, and is back without a new start. Each flow that was
 # opened on it since would be reset here. The next probe of a server that stays dead
 # costs its callers a quarter of a second.
-DEAD_MS: typing.Final = 2000
+DEAD_HOLD_MS: typing.Final = 2000
 
 
 class State(enum.Enum):
@@ -54,7 +54,7 @@
             cookie: The target.
             path_ms: When another target of its zone last answered.
         """
-        if now_ms - path_ms > PATH_MS:
+        if now_ms - path_ms > MAX_ZONE_ANSWER_AGE_MS:
             return False
         check = self._checks.get(cookie)
         if check is not None and not self._over(now_ms, check):
@@ -62,7 +62,7 @@
         self._checks[cookie] = _Check(State.PROBING, now_ms)
         return True
 
-    def probed(
+    def record_probe(
         self,
         now_ms: int,
         cookie: int,
@@ -110,7 +110,7 @@
             return False
         return self._over(now_ms, check)
 
-    def answered(self, cookie: int) -> bool:
+    def record_answer(self, cookie: int) -> bool:
         """Close the check of a target that answered; True when it was dead."""
         check = self._checks.pop(cookie, None)
         return check is not None and check.state is State.DEAD
@@ -118,7 +118,7 @@
     def _over(self, now_ms: int, check: _Check) -> bool:
         if check.state is State.PROBING:
             return False
-        holds_ms = DEAD_MS if check.state is State.DEAD else AGAIN_MS
+        holds_ms = DEAD_HOLD_MS if check.state is State.DEAD else RECHECK_INTERVAL_MS
         return now_ms - check.since_ms >= holds_ms
 
     def keep(self, cookies: typing.Collection[int]) -> None:
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -143,7 +143,7 @@
         """Note that a target answered."""
         self._answered_ms[target.zone] = now_ms
         self._silence.record_answer(target.cookie)
-        if self.liveness.answered(target.cookie):
+        if self.liveness.record_answer(target.cookie):
             # It may have crashed and be back under its entry of before.
             self._catalog.ages.record_start(now_ms, target.cookie)
         if self._zone_silence.record_answer(target.zone):
--- a/eelgrasswick/cookie/probing.py
+++ b/eelgrasswick/cookie/probing.py
@@ -9,7 +9,7 @@
 # A live target accepts within a round trip, a few milliseconds; two tries side
 # by side, as one opening packet may be lost.
 TIMEOUT_MS: typing.Final = 250
-TRIES: typing.Final = 2
+PARALLEL_ATTEMPTS: typing.Final = 2
 
 
 class _Knock(protocol.Protocol):
@@ -24,11 +24,15 @@
 
 async def accepts(reactor: typing.Any, address: model.Address) -> bool:
     """Tell whether something accepts connections at an address."""
-    tries = [defer.ensureDeferred(_try(reactor, address)) for _ in range(TRIES)]
+    tries = [
+        defer.ensureDeferred(_try(reactor, address)) for _ in range(PARALLEL_ATTEMPTS)
+    ]
     return any([await item for item in tries])
 
 
-async def path_known(reactor: typing.Any, known: typing.Callable[[], bool]) -> None:
+async def wait_for_zone_answer(
+    reactor: typing.Any, known: typing.Callable[[], bool]
+) -> None:
     """Wait until a neighbour has answered, or as long as a probe takes at most.
 
     Args:
--- a/eelgrasswick/cookie/stall.py
+++ b/eelgrasswick/cookie/stall.py
@@ -23,7 +23,7 @@
         self._awake_ms = now_ms
         self._long_gap_ms = now_ms
 
-    def awake(self, now_ms: int) -> int:
+    def record_activity(self, now_ms: int) -> int:
         """Note that this VM does something; return for how long it did nothing."""
         gap_ms = now_ms - self._awake_ms
         self._awake_ms = now_ms
@@ -31,6 +31,6 @@
             self._long_gap_ms = now_ms
         return gap_ms
 
-    def since(self, begun_ms: int, now_ms: int) -> bool:
+    def gap_since(self, begun_ms: int, now_ms: int) -> bool:
         """Tell whether a timer that began then may have run out for a gap."""
         return self._long_gap_ms > begun_ms or now_ms - self._awake_ms > PROBE_GAP_MS
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -246,7 +246,7 @@
         if not accepted and neighbour is not None and self._accepts(vm, neighbour):
             vm.seen.record_zone_answer(self._due.now_ms, target.zone)
         path_ms = vm.seen.zone_answered_ms(target)
-        dead = vm.seen.liveness.probed(
+        dead = vm.seen.liveness.record_probe(
             self._due.now_ms, target.cookie, accepted, path_ms
         )
         if dead:
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -192,7 +192,7 @@
     target = next(item for item in known.targets if item.name == "i-0a")
     seen.record_zone_answer(100, "z1")
     assert seen.begin_check(100, target)
-    assert seen.liveness.probed(200, target.cookie, accepted=False, path_ms=150)
+    assert seen.liveness.record_probe(200, target.cookie, accepted=False, path_ms=150)
     seen.record_answer(3000, target)
     assert known.cold_ms(target, 3000) == 2000
 
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -37,7 +37,7 @@
         asked.append(len(asked) >= 2)
         return asked[-1]
 
-    turning.result(probing.path_known(default_reactor, known))
+    turning.result(probing.wait_for_zone_answer(default_reactor, known))
     assert asked == [False, False, True]
 
 
@@ -49,5 +49,5 @@
         asked.append(None)
         return False
 
-    turning.result(probing.path_known(default_reactor, never))
+    turning.result(probing.wait_for_zone_answer(default_reactor, never))
     assert len(asked) == probing.TIMEOUT_MS // probing.WAIT_STEP_MS
--- a/tests/test_steering_silent.py
+++ b/tests/test_steering_silent.py
@@ -140,7 +140,7 @@
         decision = steering_parts.steer(steers, now_ms, raw)
     assert decision is not None
     assert decision.probe == first
-    assert seen.liveness.probed(460, first.cookie, False, 300)
+    assert seen.liveness.record_probe(460, first.cookie, False, 300)
     return first
 
 
@@ -193,7 +193,7 @@
     """
     first = _crash(steers, seen)
     steers.reset_flows(first)
-    now_ms = 470 + liveness.DEAD_MS
+    now_ms = 470 + liveness.DEAD_HOLD_MS
     neighbours = [item for item in known.accepting("desk") if item != first]
     seen.record_answer(now_ms, neighbours[0])
     raw = cookie_parts.packet(
