--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -27,7 +27,7 @@
 # of 100 bytes, at 25 us each.
 BACKLOG_MS: typing.Final = 50
 # More copies of an opening packet than any caller sends: all of them are dropped.
-NO_COPY: typing.Final = 1 << 32
+NO_RETRANSMISSION: typing.Final = 1 << 32
 # Forwarding is counted; a line for each packet would take the time of packets.
 _QUIET_OUTCOMES: typing.Final = frozenset({steering.Outcome.FORWARDED})
 
@@ -81,8 +81,8 @@
             zone, parts.codec, parts.catalog, parts.observations
         )
         self.stalls = stall.Stalls(clock.now_ms())
-        self.began = False
-        self.packet_ms = 0
+        self.started = False
+        self.last_packet_ms = 0
         self.send: Send = _ignore_datagram
         self.probe: typing.Callable[[model.Target], None] = _ignore_target
         self._caller_port = caller_port
@@ -93,9 +93,9 @@
         self._log = parts.log
         self._stats = parts.stats
         self._backlog_until_ms = 0
-        self._backlog_keeps = NO_COPY
+        self._backlog_keeps = NO_RETRANSMISSION
 
-    def wake(self) -> int:
+    def check_stall(self) -> int:
         """Return the present time; notice when this VM has stood still."""
         now_ms = clock.now_ms()
         gap_ms = self.stalls.record_activity(now_ms)
@@ -105,25 +105,25 @@
             # Opening packets that waited are old. Their flows may be open by
             # now, through other VMs; placed here, they would be open twice.
             self._backlog_until_ms = now_ms + BACKLOG_MS
-            self._backlog_keeps = NO_COPY
+            self._backlog_keeps = NO_RETRANSMISSION
             self._observations.record_stall(now_ms)
             self._log.write("woke", stood_still_ms=gap_ms)
         return now_ms
 
-    def begin(self, waited_ms: int) -> None:
+    def start(self, waited_ms: int) -> None:
         """Note that packets are read from now on, which may have waited."""
         self.stalls = stall.Stalls(clock.now_ms() - waited_ms)
         self._log.write("packets_taken", waited_ms=waited_ms)
-        self.began = True
-        self.wake()
+        self.started = True
+        self.check_stall()
         # A caller sends its last copy only if nobody has answered before, and
         # no further one; dropped, its attempt would be over.
         self._backlog_keeps = steering.LAST_RETRANSMISSION
 
-    def take(self, raw: bytes, host: str) -> None:
+    def handle_packet(self, raw: bytes, host: str) -> None:
         """Carry a packet that came from a host."""
-        now_ms = self.wake()
-        self.packet_ms = now_ms
+        now_ms = self.check_stall()
+        self.last_packet_ms = now_ms
         try:
             segment = self._codec.decode(raw)
         except errors.PacketMalformedError as error:
@@ -148,10 +148,10 @@
     def _send(self, segment: model.Segment, decision: steering.Decision) -> None:
         if decision.datagram is None:
             return
-        address = decision.address or self.caller(segment.flow)
+        address = decision.address or self.caller_address(segment.flow)
         self.send(decision.datagram, address)
 
-    def caller(self, flow: model.FlowId) -> model.Address:
+    def caller_address(self, flow: model.FlowId) -> model.Address:
         """Return where the caller of a flow takes packets."""
         host = ".".join(map(str, flow.caller_ip))
         return model.Address(host, self._caller_port)
@@ -203,7 +203,7 @@
             "refused_part": f"{refusals.refused(pool):.2f}",
         }
 
-    def tell_overloads(self) -> None:
+    def log_overloads(self) -> None:
         """Log which overloads have begun and ended."""
         refusals = self._observations.refusals
         while refusals.changed:
@@ -216,7 +216,7 @@
                 of_objective=f"{refusals.ratio(pool):.2f}",
             )
 
-    def tell_ejections(self) -> None:
+    def log_ejections(self) -> None:
         """Log which targets were ejected."""
         fresh = self._observations.ejections.fresh
         while fresh:
@@ -238,7 +238,7 @@
         own = self._observations.tracker.flows_on(target.cookie)
         return own + self._observations.reports.flows_on(target.cookie)
 
-    def learned(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
+    def apply_rows(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
         """Follow rows that are new to this VM.
 
         Args:
@@ -253,7 +253,7 @@
             self._log.write(note.event, **note.fields, origin=origin, gap_ms=gap_ms)
 
 
-def assemble(
+def build_carrier(
     loaded: settings.Settings,
     wire: codec.SegmentCodec,
     reader: source.Reader,
--- a/eelgrasswick/cookie/catalog.py
+++ b/eelgrasswick/cookie/catalog.py
@@ -303,7 +303,7 @@
         # entry like that may be anyone's.
         if row.value is None or target is None or target.service not in self._services:
             return []
-        return self._owners.told(target, row.revision)
+        return self._owners.record_entry(target, row.revision)
 
     def _lapsed_together(self, merge: knowledge.Merge) -> bool:
         if merge.gap_ms <= SHORT_OUTAGE_MS:
--- a/eelgrasswick/cookie/codec.py
+++ b/eelgrasswick/cookie/codec.py
@@ -17,11 +17,11 @@
         """
 
     @abc.abstractmethod
-    def marked(self, datagram: bytes, cookie: int) -> bytes:
+    def with_cookie(self, datagram: bytes, cookie: int) -> bytes:
         """Return a caller's datagram with another cookie."""
 
     @abc.abstractmethod
-    def addressed(self, datagram: bytes, target: model.Target) -> bytes:
+    def for_target(self, datagram: bytes, target: model.Target) -> bytes:
         """Return a caller's datagram as it is sent to a target."""
 
     @abc.abstractmethod
--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -90,7 +90,7 @@
         self._gossip = gossip.Gossip(
             reactor, vm.peer, vm.zone, self._told(), rng, self._on_unsent
         )
-        self._catalog.on_ended = self._forwarder.abandon
+        self._catalog.on_ended = self._forwarder.reset_ended_target
         self._forwarder.on_dead = self._gossip.dead
         self._store_watch = store_watch.StoreWatch(
             parts.source, self._knowledge, self._gossip.merged, self._log, rng
@@ -103,11 +103,11 @@
     def _told(self) -> gossip.Parts:
         return gossip.Parts(
             self._knowledge,
-            self._carrier.learned,
+            self._carrier.apply_rows,
             self._observations.reports,
             self._log,
             self._stats,
-            self._forwarder.check,
+            self._forwarder.probe_reported,
             self._observations.record_witness,
         )
 
@@ -193,8 +193,8 @@
                 vm.data.port, port, vm.data.host, DATAGRAM_BYTES
             )
         elif self._catalog.ready:
-            if not self._carrier.began:
-                self._carrier.begin(clock.now_ms() - self._bound_ms)
+            if not self._carrier.started:
+                self._carrier.start(clock.now_ms() - self._bound_ms)
             self._forwarder.begin()
             taken = self._reactor.adoptDatagramPort(
                 self._waiting.fileno(), socket.AF_INET, port, DATAGRAM_BYTES
@@ -210,14 +210,14 @@
         self._observations.tick(now_ms)
         vms = self._gossip.peers
         self._observations.cold.limits.follow(now_ms, vms.hosts(), len(vms))
-        self._carrier.tell_overloads()
+        self._carrier.log_overloads()
         self._catalog.tick(now_ms, self._knowledge.confirmed_ms)
         self._gossip.ask(now_ms, self._observations.report(), self._store_watch.answers)
 
     def _check(self) -> None:
-        now_ms = self._carrier.wake()
-        self._gossip.witnesses(now_ms, self._forwarder.check_overdue(now_ms))
-        self._carrier.tell_ejections()
+        now_ms = self._carrier.check_stall()
+        self._gossip.witnesses(now_ms, self._forwarder.probe_overdue(now_ms))
+        self._carrier.log_ejections()
         self._store_watch.check(now_ms, self._gossip.peers.rank())
         ready = self._ready
         if ready != self._was_ready:
@@ -230,7 +230,7 @@
 
     def _end_if_done(self, now_ms: int, asked_ms: int) -> None:
         grace_ms = int(self._settings.stop.grace_s * 1000)
-        if stopping.may_end(now_ms, asked_ms, self._carrier.packet_ms, grace_ms):
+        if stopping.may_end(now_ms, asked_ms, self._carrier.last_packet_ms, grace_ms):
             self._log.write("stopped", after_ms=now_ms - asked_ms)
             self._log.flush()
             self._reactor.stop()
--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -33,7 +33,7 @@
             carrier: Decides about them.
             failed: Told of datagrams that could not be sent.
         """
-        self.port = ports.Port(carrier.take, failed)
+        self.port = ports.Port(carrier.handle_packet, failed)
         self.on_dead: typing.Callable[[int], None] = _ignore
         self._reactor = reactor
         self._carrier = carrier
@@ -92,7 +92,7 @@
             lambda: self._observations.zone_answered_ms(target) > since_ms,
         )
 
-    def check_overdue(self, now_ms: int) -> list[ejection.Witness]:
+    def probe_overdue(self, now_ms: int) -> list[ejection.Witness]:
         """Probe the targets whose answers are overdue.
 
         Returns:
@@ -103,7 +103,7 @@
             defer.ensureDeferred(self._probe(target))
         return witnesses
 
-    def check(self, cookie: int) -> None:
+    def probe_reported(self, cookie: int) -> None:
         """Probe a target that another VM has found dead, if flows are open on it.
 
         The other VM may be cut off from it, so its word alone resets nothing.
@@ -114,7 +114,7 @@
         if self._observations.begin_check(clock.now_ms(), target):
             defer.ensureDeferred(self._probe(target))
 
-    def abandon(self, target: model.Target) -> None:
+    def reset_ended_target(self, target: model.Target) -> None:
         """Reset the flows of a target that is over for certain."""
         self._log.write(
             "target_ended",
@@ -126,7 +126,7 @@
     def _reset_flows(self, target: model.Target) -> int:
         resets = self._carrier.steering.reset_flows(target)
         for flow, datagram in resets:
-            self.port.send(datagram, self._carrier.caller(flow))
+            self.port.send(datagram, self._carrier.caller_address(flow))
             self._log.write("flow_target_dead_reset", flow=flow, target=target.name)
         self._stats.counts["flows_abandoned"] += len(resets)
         return len(resets)
--- a/eelgrasswick/cookie/owners.py
+++ b/eelgrasswick/cookie/owners.py
@@ -43,7 +43,7 @@
         """Tell whether a target is over for certain."""
         return cookie in self._ended
 
-    def told(self, target: model.Target, revision: int) -> list[model.Target]:
+    def record_entry(self, target: model.Target, revision: int) -> list[model.Target]:
         """Take an entry of a server that its service's flows may go to.
 
         Args:
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -229,8 +229,8 @@
     def _passed_on(
         self, outcome: Outcome, target: model.Target, raw: bytes
     ) -> Decision:
-        marked = self._codec.marked(raw, target.cookie)
-        datagram = self._codec.addressed(marked, target)
+        marked = self._codec.with_cookie(raw, target.cookie)
+        datagram = self._codec.for_target(marked, target)
         return Decision(outcome, datagram, target.address, target)
 
     def _forward(
@@ -255,10 +255,10 @@
         if self._observations.should_reprobe(now_ms, target):
             probe = target
         if cookie != segment.cookie:
-            raw = self._codec.marked(raw, cookie)
+            raw = self._codec.with_cookie(raw, cookie)
         return Decision(
             Outcome.FORWARDED,
-            self._codec.addressed(raw, target),
+            self._codec.for_target(raw, target),
             target.address,
             target,
             signal.answer_ms,
--- a/eelgrasswick/platform/__main__.py
+++ b/eelgrasswick/platform/__main__.py
@@ -41,7 +41,7 @@
     from eelgrasswick.cookie import carrying, model
     from eelgrasswick.platform import early, entries, segments
 
-    carrier = carrying.assemble(
+    carrier = carrying.build_carrier(
         file.settings, segments.Codec(), entries.Reader(), sys.stdout.fileno()
     )
     vm = file.settings.vm
--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -104,7 +104,7 @@
             importlib.import_module(name)
             self._read(0.0, 0.0)
             self._take_all()
-        if not self._carrier.began:
+        if not self._carrier.started:
             self._read(STALL_S, STALL_S * MOST_STALLS)
             self._take_all()
         if self._reading is not None:
@@ -117,7 +117,7 @@
         known = self._carrier.parts.knowledge
         now_ms = clock.now_ms()
         merge = answer.offer.learn(now_ms, answer.asked_ms, known)
-        self._carrier.learned(now_ms, merge, answer.host)
+        self._carrier.apply_rows(now_ms, merge, answer.host)
         self.members = answer.offer.standing.members
         self._carrier.parts.log.write(
             "bootstrapped",
@@ -156,7 +156,7 @@
     def _learn(self, changes: source.Changes, asked_ms: int) -> None:
         known = self._carrier.parts.knowledge
         now_ms = clock.now_ms()
-        self._carrier.learned(now_ms, known.merge(now_ms, changes), _ORIGIN)
+        self._carrier.apply_rows(now_ms, known.merge(now_ms, changes), _ORIGIN)
         known.confirm(changes.revision, asked_ms)
 
     def _give_up(self, detail: str) -> None:
@@ -171,15 +171,15 @@
     def _take_all(self) -> None:
         if not self._carrier.parts.catalog.ready:
             return
-        if not self._carrier.began:
+        if not self._carrier.started:
             self._carrier.send = self._send
-            self._carrier.begin(clock.now_ms() - self._bound_ms)
+            self._carrier.start(clock.now_ms() - self._bound_ms)
         for _ in range(MAX_TAKEN):
             try:
                 raw, address = self._socket.recvfrom(_CHUNK_BYTES)
             except BlockingIOError:
                 break
-            self._carrier.take(raw, address[0])
+            self._carrier.handle_packet(raw, address[0])
         self._carrier.parts.log.flush()
 
     def _send(self, datagram: bytes, address: model.Address) -> None:
--- a/eelgrasswick/platform/segments.py
+++ b/eelgrasswick/platform/segments.py
@@ -57,12 +57,12 @@
             size,
         )
 
-    def marked(self, datagram: bytes, cookie: int) -> bytes:
+    def with_cookie(self, datagram: bytes, cookie: int) -> bytes:
         """Write a cookie; see the base class."""
         end = _COOKIE_AT + _COOKIE.size
         return datagram[:_COOKIE_AT] + _COOKIE.pack(cookie) + datagram[end:]
 
-    def addressed(self, datagram: bytes, target: model.Target) -> bytes:
+    def for_target(self, datagram: bytes, target: model.Target) -> bytes:
         """Put the target's token in front; see the base class."""
         return target.token + datagram
 
--- a/tests/entry_parts.py
+++ b/tests/entry_parts.py
@@ -100,7 +100,7 @@
         self.text = text
         self._read, self._write = os.pipe()
         loaded = settings.read(text)
-        carrier = carrying.assemble(
+        carrier = carrying.build_carrier(
             loaded, segments.Codec(), entries.Reader(), self._write
         )
         parts = entry.Parts(
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -127,7 +127,9 @@
     for key in ("data", "ready", "peer", "metrics"):
         text += f"{key} = {HOST}:1\n"
     loaded = settings.read(text + f"[store]\naddress = {HOST}:1\n")
-    return carrying.assemble(loaded, segments.Codec(), entries.Reader(), descriptor)
+    return carrying.build_carrier(
+        loaded, segments.Codec(), entries.Reader(), descriptor
+    )
 
 
 def test_packets_are_carried_before_the_libraries_are_there(
@@ -178,7 +180,7 @@
         carrier = _carrier(log[1])
         address = model.Address(HOST, silent.getsockname()[1])
         early.Early(carrier, bound, clock.now_ms()).run(address)
-    assert not carrier.began
+    assert not carrier.started
     carrier.parts.log.flush()
     assert b"early_read_failed" in os.read(log[0], 65536)
 
@@ -255,7 +257,7 @@
     early.Early(carrier, bound, clock.now_ms()).run(store.address)
     store.end()
     assert carrier.parts.knowledge.revision == 7
-    assert carrier.began
+    assert carrier.started
 
 
 def test_store_that_closes_after_its_last_page_has_told_all(
@@ -280,7 +282,7 @@
     carrier = _carrier(log[1])
 
     def import_module(name: str) -> None:
-        imported.append(carrier.began)
+        imported.append(carrier.started)
         time.sleep(0.1)
 
     monkeypatch.setattr(importlib, "import_module", import_module)
@@ -306,7 +308,7 @@
     assert known.revision == 7
     assert 300 <= known.age_ms(clock.now_ms()) < 2000
     assert starting.members == (peers.Member("10.0.0.8", "z1"),)
-    assert carrier.began
+    assert carrier.started
     assert b"early_read_failed" not in os.read(log[0], 65536)
 
 
@@ -319,7 +321,7 @@
     carrier = _carrier(log[1])
     early.Early(carrier, bound, clock.now_ms(), [peer.address]).run(_unused())
     peer.end()
-    assert carrier.began
+    assert carrier.started
     assert 9000 <= carrier.parts.knowledge.age_ms(clock.now_ms()) < 9400
     assert b"early_read_failed" in os.read(log[0], 65536)
 
@@ -338,7 +340,7 @@
         carrier = _carrier(log[1])
         early.Early(carrier, bound, clock.now_ms(), dark).run(pages.address)
         pages.end()
-    assert carrier.began
+    assert carrier.started
     # All are given up together; one after the other only some would be tried.
     assert os.read(log[0], 65536).count(b"TimeoutError: connect") == 3
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -309,7 +309,7 @@
         lambda: vm.vm._observations.tracker.open_flows(first.cookie), "an open flow"
     )
     vm.vm._observations.record_answer(clock.now_ms(), neighbour)
-    vm.vm._forwarder.check(first.cookie)
+    vm.vm._forwarder.probe_reported(first.cookie)
     lines: list[str] = []
     turning.until(lambda: lines.extend(vm.log()) or "target_" in str(lines), "a probe")
     return [line for line in lines if "event=target_" in line]
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -28,8 +28,8 @@
     callers would wait for answers that never come.
     """
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
-    assert known.told(former, 5) == []
-    assert known.told(latter, 9) == [former]
+    assert known.record_entry(former, 5) == []
+    assert known.record_entry(latter, 9) == [former]
     assert known.ended(former.cookie)
     assert not known.ended(latter.cookie)
 
@@ -39,8 +39,8 @@
 ) -> None:
     """A VM starts and reads both entries at once, the later one first."""
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
-    assert known.told(latter, 9) == []
-    assert known.told(former, 5) == [former]
+    assert known.record_entry(latter, 9) == []
+    assert known.record_entry(former, 5) == [former]
     assert not known.ended(latter.cookie)
 
 
@@ -52,8 +52,8 @@
     would be broken.
     """
     former, latter = _target("i-0a", 1000), _target("i-0a", 9000)
-    known.told(former, 5)
-    assert known.told(latter, 9) == []
+    known.record_entry(former, 5)
+    assert known.record_entry(latter, 9) == []
     assert not known.ended(former.cookie)
 
 
@@ -65,39 +65,39 @@
     By the store's revisions alone the dead server would follow the live one.
     """
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
-    known.told(latter, 9)
-    assert known.told(former, 11) == []
+    known.record_entry(latter, 9)
+    assert known.record_entry(former, 11) == []
     assert not known.ended(latter.cookie)
 
 
 def test_wrong_clock_of_a_server_ends_nobody(known: owners.Owners) -> None:
     """A server's clock is behind when it starts at an address that was used."""
     former, latter = _target("i-0a", 9000), _target("i-0b", 4000)
-    known.told(former, 5)
-    assert known.told(latter, 9) == []
+    known.record_entry(former, 5)
+    assert known.record_entry(latter, 9) == []
     assert not known.ended(former.cookie)
 
 
 def test_entry_that_changes_ends_nobody(known: owners.Owners) -> None:
     target = _target("i-0a", 1000)
-    known.told(target, 5)
-    assert known.told(target._replace(draining=True), 9) == []
+    known.record_entry(target, 5)
+    assert known.record_entry(target._replace(draining=True), 9) == []
 
 
 def test_each_end_is_told_once(known: owners.Owners) -> None:
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
-    known.told(former, 5)
-    known.told(latter, 9)
-    assert known.told(latter._replace(draining=True), 12) == []
+    known.record_entry(former, 5)
+    known.record_entry(latter, 9)
+    assert known.record_entry(latter._replace(draining=True), 12) == []
 
 
 def test_target_that_is_forgotten_leaves_nothing(
     known: owners.Owners,
 ) -> None:
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
-    known.told(former, 5)
-    known.told(latter, 9)
+    known.record_entry(former, 5)
+    known.record_entry(latter, 9)
     known.forget(former)
     known.forget(latter)
     assert not known.ended(former.cookie)
-    assert known.told(former, 5) == []
+    assert known.record_entry(former, 5) == []
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -37,16 +37,16 @@
 
 
 def test_mark_changes_the_cookie_only(codec: segments.Codec) -> None:
-    marked = codec.marked(EXAMPLE, 0xDEADBEEF)
+    marked = codec.with_cookie(EXAMPLE, 0xDEADBEEF)
     assert codec.decode(marked).cookie == 0xDEADBEEF
-    assert codec.marked(marked, 0) == EXAMPLE
+    assert codec.with_cookie(marked, 0) == EXAMPLE
 
 
 def test_token_of_the_target_stands_in_front(codec: segments.Codec) -> None:
     row = cookie_parts.target_row("i-7f3a91c2", 1)
     target = entries.Reader().target(row)
     assert (
-        codec.addressed(EXAMPLE, target) == bytes.fromhex("000000007f3a91c2") + EXAMPLE
+        codec.for_target(EXAMPLE, target) == bytes.fromhex("000000007f3a91c2") + EXAMPLE
     )
 
 
