--- a/tests/test_cookie_load.py
+++ b/tests/test_cookie_load.py
@@ -36,7 +36,7 @@
     By claimed slots they get as much as the fast ones, and their callers queue.
     """
     learned = _play(_load(flows=40))
-    monkeypatch.setattr(speed, "factors", lambda means: dict.fromkeys(means, 1.0))
+    monkeypatch.setattr(speed, "speed_factors", lambda means: dict.fromkeys(means, 1.0))
     claimed = _play(_load(flows=40))
     assert learned.busiest < claimed.busiest - 0.1
     assert learned.p99_ms < claimed.p99_ms
@@ -66,10 +66,12 @@
     """
     dark = tuple(Trouble(5000, "dark", number, 12_000) for number in (0, 3))
     noticed = _play(_load(troubles=dark))
-    monkeypatch.setattr(observations.Observations, "unanswered", lambda *_: False)
+    monkeypatch.setattr(
+        observations.Observations, "record_unanswered", lambda *_: False
+    )
     # Flows that wait on a silent server keep others away, too.
-    monkeypatch.setattr(tracker.Tracker, "in_hand", {})
-    monkeypatch.setattr(observations.Observations, "overdue", lambda *_: ([], []))
+    monkeypatch.setattr(tracker.Tracker, "waiting_flows", {})
+    monkeypatch.setattr(observations.Observations, "take_overdue", lambda *_: ([], []))
     unnoticed = _play(_load(troubles=dark))
     assert noticed.served > 0.998
     assert noticed.served > unnoticed.served + 0.005
@@ -86,7 +88,9 @@
     """
     dark = tuple(Trouble(5000, "dark", number, 12_000) for number in (0, 3))
     asked = [_play(_load(troubles=dark), seed).served for seed in range(1, 5)]
-    monkeypatch.setattr(observations.Observations, "neighbour", lambda *_: None)
+    monkeypatch.setattr(
+        observations.Observations, "other_target_in_zone", lambda *_: None
+    )
     waited = [_play(_load(troubles=dark), seed).served for seed in range(1, 5)]
     assert sum(asked) > sum(waited)
     assert min(asked) > 0.999
@@ -176,7 +180,7 @@
         return max(map(_most_in_a_second, times_ms.values()), default=0), result.served
 
     most, served = most_and_served()
-    monkeypatch.setattr(cold_targets.ColdTargets, "per_s", lambda *_: None)
+    monkeypatch.setattr(cold_targets.ColdTargets, "limit_per_s", lambda *_: None)
     flood, served_by_flood = most_and_served()
     assert most <= 5 < flood
     assert served > served_by_flood - 0.002
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -224,7 +224,9 @@
     """
     noted: list[int] = []
     monkeypatch.setattr(
-        observations.Observations, "paused", lambda _, now_ms: noted.append(now_ms)
+        observations.Observations,
+        "record_pause",
+        lambda _, now_ms: noted.append(now_ms),
     )
     begun_ms = clock.now_ms()
     start(entry_parts.host(1), store)
