--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -33,7 +33,7 @@
             carrier: Decides about them.
             failed: Told of datagrams that could not be sent.
         """
-        self.port = ports.Port(carrier.take, failed)
+        self.port = ports.Port(carrier.handle_packet, failed)
         self.on_dead: typing.Callable[[int], None] = _ignore
         self._reactor = reactor
         self._carrier = carrier
@@ -56,12 +56,12 @@
         accepted = await probing.accepts(self._reactor, target.address)
         if not accepted and not missing:
             await self._look_for_path(now_ms, target)
-        path_ms = self._observations.path_ms(target)
+        path_ms = self._observations.zone_answered_ms(target)
         ended_ms = clock.now_ms()
-        if self._carrier.stalls.since(now_ms, ended_ms):
+        if self._carrier.stalls.gap_since(now_ms, ended_ms):
             # The probe may have timed out with its answer unread.
             path_ms, missing = knowledge.NEVER_MS, False
-        dead = self._observations.liveness.probed(
+        dead = self._observations.liveness.record_probe(
             ended_ms, target.cookie, accepted, path_ms, missing
         )
         self._stats.counts["targets_probed"] += 1
@@ -80,40 +80,41 @@
         # Only an answer of a neighbour tells a dead target from a cut. A VM with few
         # flows in the zone hears none for seconds, and its callers would wait for
         # their deadlines; so it asks a neighbour for a connection, too.
-        if self._observations.path_ms(target) > since_ms:
+        if self._observations.zone_answered_ms(target) > since_ms:
             return
-        neighbour = self._observations.neighbour(clock.now_ms(), target)
+        neighbour = self._observations.other_target_in_zone(clock.now_ms(), target)
         if neighbour is not None:
             if await probing.accepts(self._reactor, neighbour.address):
-                self._observations.path_seen(clock.now_ms(), target.zone)
+                self._observations.record_zone_answer(clock.now_ms(), target.zone)
             return
-        await probing.path_known(
-            self._reactor, lambda: self._observations.path_ms(target) > since_ms
+        await probing.wait_for_zone_answer(
+            self._reactor,
+            lambda: self._observations.zone_answered_ms(target) > since_ms,
         )
 
-    def check_overdue(self, now_ms: int) -> list[ejection.Witness]:
+    def probe_overdue(self, now_ms: int) -> list[ejection.Witness]:
         """Probe the targets whose answers are overdue.
 
         Returns:
             What other VMs of the zone should hear.
         """
-        targets, witnesses = self._observations.overdue(now_ms)
+        targets, witnesses = self._observations.take_overdue(now_ms)
         for target in targets:
             defer.ensureDeferred(self._probe(target))
         return witnesses
 
-    def check(self, cookie: int) -> None:
+    def probe_reported(self, cookie: int) -> None:
         """Probe a target that another VM has found dead, if flows are open on it.
 
         The other VM may be cut off from it, so its word alone resets nothing.
         """
         target = self._catalog.by_cookie(cookie)
-        if target is None or not self._observations.tracker.open_on(cookie):
+        if target is None or not self._observations.tracker.open_flows(cookie):
             return
-        if self._observations.probe_due(clock.now_ms(), target):
+        if self._observations.begin_check(clock.now_ms(), target):
             defer.ensureDeferred(self._probe(target))
 
-    def abandon(self, target: model.Target) -> None:
+    def reset_ended_target(self, target: model.Target) -> None:
         """Reset the flows of a target that is over for certain."""
         self._log.write(
             "target_ended",
@@ -123,9 +124,9 @@
         )
 
     def _reset_flows(self, target: model.Target) -> int:
-        resets = self._carrier.steering.abandon(target)
+        resets = self._carrier.steering.reset_flows(target)
         for flow, datagram in resets:
-            self.port.send(datagram, self._carrier.caller(flow))
+            self.port.send(datagram, self._carrier.caller_address(flow))
             self._log.write("flow_target_dead_reset", flow=flow, target=target.name)
         self._stats.counts["flows_abandoned"] += len(resets)
         return len(resets)
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -11,12 +11,12 @@
 # While knowledge is older, a route that is not known may be one that was just
 # added. Two seconds are within the three in which a change is to be in force
 # and above the age that a watched store leaves.
-SURE_MS: typing.Final = 2000
+MAX_CATALOG_AGE_MS: typing.Final = 2000
 # Callers send a copy 200 ms after an opening packet. One that is seen sooner
 # has waited together with the first, and does not say that it got no answer.
-COPY_MS: typing.Final = 120
+MIN_RETRANSMISSION_MS: typing.Final = 120
 # The copies are numbered from 0; this is the number of the last one, 600 ms later.
-LAST_COPY: typing.Final = 2
+LAST_RETRANSMISSION: typing.Final = 2
 _PARTS: typing.Final = 2**16
 _NUMBERS: typing.Final = struct.Struct(">III")
 
@@ -28,7 +28,7 @@
     PLACED = "placed"
     PLACED_AGAIN = "placed_again"
     NO_ROUTE = "no_route"
-    NO_ROUTE_SURE = "no_route_reset"
+    NO_ROUTE_RESET = "no_route_reset"
     NO_TARGET = "no_target_reset"
     NO_TARGET_YET = "no_target_yet"
     EVACUATED = "evacuated_reset"
@@ -112,10 +112,10 @@
         # is open already shows that some VM knows the route, so it is reset
         # only when this VM has seen the route go.
         known = segment.opening or self._catalog.dropped(segment)
-        if segment.reset or age_ms > SURE_MS or not known:
+        if segment.reset or age_ms > MAX_CATALOG_AGE_MS or not known:
             return Decision(Outcome.NO_ROUTE, None, None, None)
         datagram = self._codec.reset(segment.flow, segment.acknowledged)
-        return Decision(Outcome.NO_ROUTE_SURE, datagram, None, None)
+        return Decision(Outcome.NO_ROUTE_RESET, datagram, None, None)
 
     def _open(
         self, now_ms: int, route: model.Route, segment: model.Segment, raw: bytes
@@ -126,15 +126,15 @@
         before = self._catalog.by_cookie(record.cookie) if record is not None else None
         if record is None or before is None or self._is_dead(now_ms, before):
             return self._place(now_ms, route, flow, raw, copies, None)
-        soon = now_ms - record.placed_ms < COPY_MS
-        unanswered = copies > record.copies
+        soon = now_ms - record.placed_ms < MIN_RETRANSMISSION_MS
+        unanswered = copies > record.retransmissions
         moves = unanswered or self._catalog.evacuations.covers(before)
         if record.open or not moves or soon:
             # The network doubled the packet, or it waited in a queue behind the
             # first. At a second target the flow would be open twice.
             return self._passed_on(Outcome.PLACED, before, raw)
         decision = self._place(now_ms, route, flow, raw, copies, before)
-        if unanswered and self._observations.unanswered(now_ms, before):
+        if unanswered and self._observations.record_unanswered(now_ms, before):
             return decision._replace(probe=before)
         return decision
 
@@ -156,24 +156,24 @@
         found = self._observations.candidates(
             now_ms, service, passed_over, part, urgent
         )
-        candidates = found.items
-        withheld = self._withheld(service, found.cold_left_out)
-        chosen = placing.choose(candidates, self._zone, draws)
+        candidates = found.candidates
+        withheld = self._withheld(service, found.cold_excluded)
+        chosen = placing.choose_target(candidates, self._zone, draws)
         if chosen is None:
             return self._without_target(flow, withheld)
         target = chosen
         # Only a first opening packet is refused. Where a copy comes, a target may have
         # taken the one before, and the caller may be about to ask it.
         if not copies and self._is_refused(now_ms, route, chosen, draws):
-            calm = placing.choose(self._calm(candidates), self._zone, draws)
+            calm = placing.choose_target(self._calm(candidates), self._zone, draws)
             if calm is None:
                 # No target saw it, so that it has not run. Let in, it would be late
                 # and make the next ones late, too.
                 datagram = self._codec.reset(flow, 0)
                 return Decision(Outcome.OVERLOADED, datagram, None, chosen)
             target = calm
-        self._observations.tracker.placed(now_ms, flow, target.cookie, copies)
-        self._observations.placed(now_ms, target)
+        self._observations.tracker.record_placement(now_ms, flow, target.cookie, copies)
+        self._observations.record_placement(now_ms, target)
         outcome = Outcome.PLACED if silent is None else Outcome.PLACED_AGAIN
         return self._passed_on(outcome, target, raw)._replace(withheld=withheld)
 
@@ -229,8 +229,8 @@
     def _passed_on(
         self, outcome: Outcome, target: model.Target, raw: bytes
     ) -> Decision:
-        marked = self._codec.marked(raw, target.cookie)
-        datagram = self._codec.addressed(marked, target)
+        marked = self._codec.with_cookie(raw, target.cookie)
+        datagram = self._codec.for_target(marked, target)
         return Decision(outcome, datagram, target.address, target)
 
     def _forward(
@@ -250,15 +250,15 @@
             self._observations.tracker.forget(segment.flow)
             datagram = self._codec.reset(segment.flow, segment.acknowledged)
             return Decision(Outcome.TARGET_DEAD, datagram, None, target)
-        signal = self._observations.tracker.passed(now_ms, segment, cookie)
+        signal = self._observations.tracker.record_segment(now_ms, segment, cookie)
         probe = target if self._learn(now_ms, route, target, signal) else None
-        if self._observations.recheck(now_ms, target):
+        if self._observations.should_reprobe(now_ms, target):
             probe = target
         if cookie != segment.cookie:
-            raw = self._codec.marked(raw, cookie)
+            raw = self._codec.with_cookie(raw, cookie)
         return Decision(
             Outcome.FORWARDED,
-            self._codec.addressed(raw, target),
+            self._codec.for_target(raw, target),
             target.address,
             target,
             signal.answer_ms,
@@ -270,9 +270,9 @@
         ended = self._catalog.ended(cookie)
         return ended or self._observations.liveness.dead(now_ms, cookie)
 
-    def abandon(self, target: model.Target) -> list[tuple[model.FlowId, bytes]]:
+    def reset_flows(self, target: model.Target) -> list[tuple[model.FlowId, bytes]]:
         """Return a reset for each open flow of a target that is dead."""
-        flows = self._observations.tracker.open_on(target.cookie)
+        flows = self._observations.tracker.open_flows(target.cookie)
         for flow, _ in flows:
             self._observations.tracker.forget(flow)
         return [(flow, self._codec.reset(flow, at)) for flow, at in flows]
@@ -282,16 +282,16 @@
         now_ms: int,
         route: model.Route,
         target: model.Target,
-        signal: tracker.Signal,
+        signal: tracker.Measurement,
     ) -> bool:
         probe = False
         if signal.opened or signal.answer_ms is not None:
-            self._observations.answered(now_ms, target)
-        elif signal.repeated:
-            probe = self._observations.unanswered(now_ms, target)
+            self._observations.record_answer(now_ms, target)
+        elif signal.retransmitted:
+            probe = self._observations.record_unanswered(now_ms, target)
         if signal.answer_ms is not None:
-            self._observations.served(target, signal.answer_ms)
-            self._observations.timed(now_ms, route, target, signal)
+            self._observations.record_answer_time(target, signal.answer_ms)
+            self._observations.record_objective(now_ms, route, target, signal)
         return probe
 
 
--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -105,7 +105,7 @@
             importlib.import_module(name)
             self._read(0.0, 0.0)
             self._forward_waiting()
-        if not self._carrier.began:
+        if not self._carrier.started:
             self._read(STALL_S, STALL_S * MAX_STALLS)
             self._forward_waiting()
         if self._reader is not None:
@@ -118,7 +118,7 @@
         local_rows = self._carrier.parts.knowledge
         now_ms = clock.now_ms()
         merge = answer.offer.learn(now_ms, answer.asked_ms, local_rows)
-        self._carrier.learned(now_ms, merge, answer.host)
+        self._carrier.apply_rows(now_ms, merge, answer.host)
         self.members = answer.offer.standing.members
         self._carrier.parts.log.write(
             "bootstrapped",
@@ -130,7 +130,7 @@
         )
         # Rows that are old because of an outage of the store are better than none, but
         # the store may be available again by now.
-        return local_rows.age_ms(now_ms) <= steering.SURE_MS
+        return local_rows.age_ms(now_ms) <= steering.MAX_CATALOG_AGE_MS
 
     def _read(self, idle_s: float, total_s: float) -> None:
         """Continue to read the listing, if it is not complete.
@@ -157,7 +157,7 @@
     def _merge(self, changes: source.Changes, asked_ms: int) -> None:
         local_rows = self._carrier.parts.knowledge
         now_ms = clock.now_ms()
-        self._carrier.learned(now_ms, local_rows.merge(now_ms, changes), _ORIGIN)
+        self._carrier.apply_rows(now_ms, local_rows.merge(now_ms, changes), _ORIGIN)
         local_rows.confirm(changes.revision, asked_ms)
 
     def _give_up(self, detail: str) -> None:
@@ -172,15 +172,15 @@
     def _forward_waiting(self) -> None:
         if not self._carrier.parts.catalog.ready:
             return
-        if not self._carrier.began:
+        if not self._carrier.started:
             self._carrier.send = self._send
-            self._carrier.begin(clock.now_ms() - self._bound_ms)
+            self._carrier.start(clock.now_ms() - self._bound_ms)
         for _ in range(MAX_PACKETS_PER_IMPORT):
             try:
                 raw, address = self._data_socket.recvfrom(_CHUNK_BYTES)
             except BlockingIOError:
                 break
-            self._carrier.take(raw, address[0])
+            self._carrier.handle_packet(raw, address[0])
         self._carrier.parts.log.flush()
 
     def _send(self, datagram: bytes, address: model.Address) -> None:
--- a/eelgrasswick/platform/segments.py
+++ b/eelgrasswick/platform/segments.py
@@ -60,12 +60,12 @@
             size,
         )
 
-    def marked(self, datagram: bytes, cookie: int) -> bytes:
+    def with_cookie(self, datagram: bytes, cookie: int) -> bytes:
         """Return the datagram with a cookie; see the base class."""
         end = _COOKIE_OFFSET + _COOKIE.size
         return datagram[:_COOKIE_OFFSET] + _COOKIE.pack(cookie) + datagram[end:]
 
-    def addressed(self, datagram: bytes, target: model.Target) -> bytes:
+    def for_target(self, datagram: bytes, target: model.Target) -> bytes:
         """Return the datagram behind the target's token; see the base class."""
         return target.token + datagram
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -192,10 +192,10 @@
     """Guards against a crashed server that is back before its entry says so."""
     _settle(known)
     target = next(item for item in known.targets if item.name == "i-0a")
-    seen.path_seen(100, "z1")
-    assert seen.probe_due(100, target)
-    assert seen.liveness.probed(200, target.cookie, accepted=False, path_ms=150)
-    seen.answered(3000, target)
+    seen.record_zone_answer(100, "z1")
+    assert seen.begin_check(100, target)
+    assert seen.liveness.record_probe(200, target.cookie, accepted=False, path_ms=150)
+    seen.record_answer(3000, target)
     assert known.cold_ms(target, 3000) == 2000
 
 
@@ -205,10 +205,10 @@
     """Guards against a server that crashed and is back before a probe found it dead."""
     _settle(known)
     target = next(item for item in known.targets if item.name == "i-0a")
-    seen.unanswered(100, target)
-    seen.unanswered(300, target)
+    seen.record_unanswered(100, target)
+    seen.record_unanswered(300, target)
     steering_parts.opened(steers, 400)
-    seen.answered(1000, target)
+    seen.record_answer(1000, target)
     for number in range(30):
         assert steering_parts.opened(steers, 1100, port=41_000 + number) != target
 
@@ -219,11 +219,11 @@
     """Guards against a VM that takes all targets for new when its link was cut."""
     _settle(known)
     for target in known.targets:
-        seen.unanswered(100, target)
-        seen.unanswered(300, target)
+        seen.record_unanswered(100, target)
+        seen.record_unanswered(300, target)
     steering_parts.opened(steers, 400)
     for target in known.targets:
-        seen.answered(1000, target)
+        seen.record_answer(1000, target)
     assert steering_parts.opened(steers, 1100, port=41_000)
 
 
@@ -233,7 +233,7 @@
     (target, *_) = cookie_parts.known(
         _config(1), cookie_parts.target_row("i-0a", 2)
     ).targets
-    ages.seen(0, target, watched=False)
+    ages.record_entry(0, target, watched=False)
     assert ages.age_ms(0, target.cookie) is None
 
 
@@ -243,7 +243,7 @@
     (target, *_) = cookie_parts.known(
         _config(1), cookie_parts.target_row("i-0a", 2)
     ).targets
-    ages.seen(0, target, watched=False)
+    ages.record_entry(0, target, watched=False)
     assert ages.age_ms(100, target.cookie) == 600
 
 
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -127,7 +127,9 @@
     for key in ("data", "ready", "peer", "metrics"):
         text += f"{key} = {HOST}:1\n"
     loaded = settings.read(text + f"[store]\naddress = {HOST}:1\n")
-    return carrying.assemble(loaded, segments.Codec(), entries.Reader(), descriptor)
+    return carrying.build_carrier(
+        loaded, segments.Codec(), entries.Reader(), descriptor
+    )
 
 
 def test_packets_are_forwarded_between_the_imports(
@@ -179,7 +181,7 @@
         carrier = _carrier(log[1])
         address = model.Address(HOST, silent.getsockname()[1])
         early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(address)
-    assert not carrier.began
+    assert not carrier.started
     carrier.parts.log.flush()
     assert b"early_read_failed" in os.read(log[0], 65536)
 
@@ -257,7 +259,7 @@
     early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(store.address)
     store.end()
     assert carrier.parts.knowledge.revision == 7
-    assert carrier.began
+    assert carrier.started
 
 
 def test_rows_are_kept_when_the_store_closes_after_its_last_page(
@@ -282,7 +284,7 @@
     carrier = _carrier(log[1])
 
     def import_module(name: str) -> None:
-        imported.append(carrier.began)
+        imported.append(carrier.started)
         time.sleep(0.1)
 
     monkeypatch.setattr(importlib, "import_module", import_module)
@@ -310,7 +312,7 @@
     assert knowledge.revision == 7
     assert 300 <= knowledge.age_ms(clock.now_ms()) < 2000
     assert forwarder.members == (peers.Member("10.0.0.8", "z1"),)
-    assert carrier.began
+    assert carrier.started
     assert b"early_read_failed" not in os.read(log[0], 65536)
 
 
@@ -325,7 +327,7 @@
         _unused()
     )
     peer.end()
-    assert carrier.began
+    assert carrier.started
     assert 9000 <= carrier.parts.knowledge.age_ms(clock.now_ms()) < 9400
     assert b"early_read_failed" in os.read(log[0], 65536)
 
@@ -346,7 +348,7 @@
             pages.address
         )
         pages.end()
-    assert carrier.began
+    assert carrier.started
     # All seeds time out together. If they were tried one after the other, only some
     # would be tried.
     assert os.read(log[0], 65536).count(b"TimeoutError: connect") == 3
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -203,7 +203,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as waiting:
         waiting.bind((entry_parts.host(1), entry_parts.DATA_PORT))
         waiting.setblocking(False)
-        for copy, port in ((1, 40_001), (steering.LAST_COPY, 40_002)):
+        for copy, port in ((1, 40_001), (steering.LAST_RETRANSMISSION, 40_002)):
             raw = cookie_parts.packet(cookie_parts.SYN, port, acknowledged=copy)
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as made:
                 made.sendto(raw, (entry_parts.host(1), entry_parts.DATA_PORT))
@@ -224,7 +224,9 @@
     """
     noted: list[int] = []
     monkeypatch.setattr(
-        observations.Observations, "paused", lambda _, now_ms: noted.append(now_ms)
+        observations.Observations,
+        "record_pause",
+        lambda _, now_ms: noted.append(now_ms),
     )
     begun_ms = clock.now_ms()
     start(entry_parts.host(1), store)
@@ -298,7 +300,7 @@
 
     async def refused(*_: object) -> bool:
         time.sleep(blocked_s)
-        vm.vm._observations.answered(clock.now_ms() + 1, neighbour)
+        vm.vm._observations.record_answer(clock.now_ms() + 1, neighbour)
         return False
 
     monkeypatch.setattr(probing, "accepts", refused)
@@ -306,10 +308,10 @@
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
     _send(vm, raw)
     turning.until(
-        lambda: vm.vm._observations.tracker.open_on(first.cookie), "an open flow"
+        lambda: vm.vm._observations.tracker.open_flows(first.cookie), "an open flow"
     )
-    vm.vm._observations.answered(clock.now_ms(), neighbour)
-    vm.vm._forwarder.check(first.cookie)
+    vm.vm._observations.record_answer(clock.now_ms(), neighbour)
+    vm.vm._forwarder.probe_reported(first.cookie)
     lines: list[str] = []
     turning.until(lambda: lines.extend(vm.log()) or "target_" in str(lines), "a probe")
     return [line for line in lines if "event=target_" in line]
--- a/tests/test_placing_cost.py
+++ b/tests/test_placing_cost.py
@@ -82,9 +82,9 @@
     accepting = known.accepting(cookie_scenario.SERVICE)
     looked_at: collections.Counter[int] = collections.Counter()
     for step in range(1000):
-        found = placing.windows(accepting, "z1", step / 1000)
-        assert len(found) == len(set(found)) == 2 * placing.WINDOW
-        assert sum(item.zone == "z1" for item in found) == placing.WINDOW
+        found = placing.sample_targets(accepting, "z1", step / 1000)
+        assert len(found) == len(set(found)) == 2 * placing.SAMPLE_SIZE
+        assert sum(item.zone == "z1" for item in found) == placing.SAMPLE_SIZE
         looked_at.update(item.cookie for item in found)
     own = [looked_at[item.cookie] for item in accepting if item.zone == "z1"]
     assert max(own) < 1.1 * min(own)
@@ -98,5 +98,5 @@
     made = observations.Observations("z1", known)
     target = next(iter(known.targets))
     flow = model.FlowId(bytes(4), 1, cookie_scenario.SERVICE_IP, 443)
-    made.tracker.placed(0, flow, target.cookie, 0)
+    made.tracker.record_placement(0, flow, target.cookie, 0)
     assert [entry.cookie for entry in made.report()] == [target.cookie]
--- a/tests/test_segments.py
+++ b/tests/test_segments.py
@@ -40,9 +40,9 @@
 
 def test_marking_changes_only_the_cookie(codec: segments.Codec) -> None:
     """Guards against a cookie that overwrites other fields."""
-    marked = codec.marked(EXAMPLE, 0xDEADBEEF)
+    marked = codec.with_cookie(EXAMPLE, 0xDEADBEEF)
     assert codec.decode(marked).cookie == 0xDEADBEEF
-    assert codec.marked(marked, 0) == EXAMPLE
+    assert codec.with_cookie(marked, 0) == EXAMPLE
 
 
 def test_addressed_datagram_starts_with_the_token(codec: segments.Codec) -> None:
@@ -50,7 +50,7 @@
     row = cookie_parts.target_row("i-7f3a91c2", 1)
     target = entries.Reader().target(row)
     assert (
-        codec.addressed(EXAMPLE, target) == bytes.fromhex("000000007f3a91c2") + EXAMPLE
+        codec.for_target(EXAMPLE, target) == bytes.fromhex("000000007f3a91c2") + EXAMPLE
     )
 
 
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -69,7 +69,7 @@
         assert (
             steering_parts.opened(steers, 201, copies=1, port=44_000 + number) == again
         )
-        seen.answered(202, first)
+        seen.record_answer(202, first)
 
 
 def test_copies_that_waited_in_a_queue_go_to_one_target(
@@ -106,7 +106,7 @@
 def test_unknown_route_is_reset(steers: steering.Steering) -> None:
     raw = cookie_parts.packet(cookie_parts.SYN, port=9)
     decision = steering_parts.steer(steers, 0, raw)
-    assert decision.outcome is steering.Outcome.NO_ROUTE_SURE
+    assert decision.outcome is steering.Outcome.NO_ROUTE_RESET
     assert decision.address is None
 
 
@@ -116,7 +116,9 @@
     A reset would tell the caller that there is no such service.
     """
     raw = cookie_parts.packet(cookie_parts.SYN, port=9)
-    decision = steering_parts.steer(steers, 0, raw, age_ms=steering.SURE_MS + 1)
+    decision = steering_parts.steer(
+        steers, 0, raw, age_ms=steering.MAX_CATALOG_AGE_MS + 1
+    )
     assert decision.datagram is None
 
 
@@ -143,7 +145,7 @@
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=target.cookie, data=b"GET")
     decision = steering_parts.steer(steers, 6, raw)
     assert decision.target is None
-    assert decision.outcome is steering.Outcome.NO_ROUTE_SURE
+    assert decision.outcome is steering.Outcome.NO_ROUTE_RESET
     known.update(7, knowledge.Merge((cookie_parts.config_row(10, 3),), 0))
     assert steering_parts.steer(steers, 8, raw).target == target
 
@@ -260,7 +262,7 @@
     assert decision.outcome is steering.Outcome.OVERLOADED
     assert decision.address is None
     assert decision.datagram is not None
-    assert seen.tracker.in_hand == {}
+    assert seen.tracker.waiting_flows == {}
 
 
 def test_copy_of_an_opening_packet_is_not_refused(
