--- a/eelgrasswick/cookie/exchange.py
+++ b/eelgrasswick/cookie/exchange.py
@@ -22,17 +22,17 @@
 _FRAME_BYTES: typing.Final = 250
 _ENTRY_BYTES: typing.Final = 12
 # News goes to three VMs of the own zone and three of others at once.
-SPREAD: typing.Final = 3
+PUSH_FAN_OUT: typing.Final = 3
 # Word of a dead target is passed on once in this time. Flooded by six VMs each, it
 # is through a fleet of 62 in three hops, some milliseconds.
-TOLD_MS: typing.Final = 5000
+DEAD_NOTICE_INTERVAL_MS: typing.Final = 5000
 # Witnesses go to so many VMs of the own zone, as many as fit a datagram, and so many
 # wait at most.
-WITNESS_SPREAD: typing.Final = 4
+WITNESS_FAN_OUT: typing.Final = 4
 MAX_WITNESSES: typing.Final = 60
-MAX_WAITING: typing.Final = 500
+MAX_PENDING_WITNESSES: typing.Final = 500
 # An answer later than this is no answer.
-ANSWER_MS: typing.Final = 600
+RESPONSE_TIMEOUT_MS: typing.Final = 600
 
 _ASK: typing.Final = 1
 _ANSWER: typing.Final = 2
@@ -64,7 +64,7 @@
     merge: knowledge.Merge | None
     fetch_from: str
     joined: bool
-    dead: tuple[int, ...]
+    dead_cookies: tuple[int, ...]
     witnesses: tuple[ejection.Witness, ...] = ()
 
 
@@ -114,7 +114,7 @@
         # Witnesses to tell of, and when each was added.
         self._witnesses: list[tuple[ejection.Witness, int]] = []
 
-    def ask(self, now_ms: int) -> tuple[list[Outgoing], list[str]]:
+    def due_requests(self, now_ms: int) -> tuple[list[Outgoing], list[str]]:
         """Return the requests that are due, and VMs that count as gone now."""
         self._forget_asked(now_ms)
         hosts = self._peers.next_hosts()
@@ -123,15 +123,15 @@
             self._reports.forget(host)
         return [self._request(now_ms, host) for host in hosts], gone
 
-    def news(self, now_ms: int, merge: knowledge.Merge) -> list[Outgoing]:
+    def update_messages(self, now_ms: int, merge: knowledge.Merge) -> list[Outgoing]:
         """Return the datagrams that tell some others what is new."""
         if not merge.rows:
             return []
         base = min(row.revision for row in merge.rows) - 1
         payload = self._encode(now_ms, _NEWS, 0, self._short(base, ()), ())
-        return [Outgoing(host, payload) for host in self._peers.spread(SPREAD)]
+        return [Outgoing(host, payload) for host in self._peers.spread(PUSH_FAN_OUT)]
 
-    def dead(self, now_ms: int, cookie: int) -> list[Outgoing]:
+    def dead_target_notices(self, now_ms: int, cookie: int) -> list[Outgoing]:
         """Return the datagrams that tell some others of a dead target.
 
         A VM of a large fleet has one flow or none on a target, and would find out
@@ -140,21 +140,21 @@
         self._told_ms = {
             item: at_ms
             for item, at_ms in self._told_ms.items()
-            if now_ms - at_ms < TOLD_MS
+            if now_ms - at_ms < DEAD_NOTICE_INTERVAL_MS
         }
         if cookie in self._told_ms:
             return []
         self._told_ms[cookie] = now_ms
         word = (reports.Entry(cookie, 0, 0, True),)
         payload = self._encode(now_ms, _DEAD, 0, None, word)
-        return [Outgoing(host, payload) for host in self._peers.spread(SPREAD)]
+        return [Outgoing(host, payload) for host in self._peers.spread(PUSH_FAN_OUT)]
 
     def add_witness(self, now_ms: int, item: ejection.Witness) -> None:
         """Have a witness told to other VMs of the zone with the next ones."""
-        if len(self._witnesses) < MAX_WAITING:
+        if len(self._witnesses) < MAX_PENDING_WITNESSES:
             self._witnesses.append((item, now_ms))
 
-    def witnesses(self, now_ms: int) -> list[Outgoing]:
+    def witness_messages(self, now_ms: int) -> list[Outgoing]:
         """Return the datagrams that tell some VMs of the zone of witnesses.
 
         Targets are mostly used from their own zone, and VMs of another zone may see
@@ -168,7 +168,7 @@
             item._replace(age_ms=item.age_ms + now_ms - at_ms) for item, at_ms in told
         ]
         payload = self._encode(now_ms, _WITNESS, 0, None, aged)
-        hosts = self._peers.neighbours(WITNESS_SPREAD)
+        hosts = self._peers.neighbours(WITNESS_FAN_OUT)
         return [Outgoing(host, payload) for host in hosts]
 
     def receive(self, now_ms: int, host: str, payload: bytes) -> Received:
@@ -189,12 +189,12 @@
         elif item.kind == _ANSWER:
             self._confirm(now_ms, host, item)
         if merge is not None:
-            sends += self.news(now_ms, merge)
+            sends += self.update_messages(now_ms, merge)
         dead: tuple[int, ...] = ()
         if item.kind == _DEAD:
             dead = tuple(entry.cookie for entry in item.report)
         for cookie in dead:
-            sends += self.dead(now_ms, cookie)
+            sends += self.dead_target_notices(now_ms, cookie)
         near = item.zone == self._zone
         witnesses = item.witnesses if near else ()
         return Received(tuple(sends), merge, fetch, joined, dead, witnesses)
@@ -268,7 +268,7 @@
         late = [
             number
             for number, (_, at_ms) in self._asked.items()
-            if now_ms - at_ms > ANSWER_MS
+            if now_ms - at_ms > RESPONSE_TIMEOUT_MS
         ]
         for number in late:
             del self._asked[number]
@@ -287,12 +287,12 @@
     """
     try:
         return _changes(cbor2.loads(payload))
-    except FAULTS as error:
+    except DECODE_ERRORS as error:
         raise errors.MessageInvalidError(f"changes: {error}") from error
 
 
 # What decoding raises when a message holds something else.
-FAULTS: typing.Final = (
+DECODE_ERRORS: typing.Final = (
     cbor2.CBORDecodeError,
     ValueError,
     TypeError,
@@ -317,18 +317,18 @@
         ) = cbor2.loads(payload)
         told = kind == _WITNESS
         item = _Message(
-            integer(kind),
-            integer(number),
+            decode_count(kind),
+            decode_count(number),
             _text(zone),
             bool(reads),
-            integer(revision),
-            integer(age_ms),
+            decode_count(revision),
+            decode_count(age_ms),
             None if changes is None else _changes(changes),
-            tuple(map(member, members[: peers.SAMPLE])),
+            tuple(map(decode_member, members[: peers.SAMPLE])),
             () if told else tuple(map(_entry, entries[: reports.MAX_ENTRIES])),
             tuple(map(_witness, entries[:MAX_WITNESSES])) if told else (),
         )
-    except FAULTS as error:
+    except DECODE_ERRORS as error:
         raise errors.MessageInvalidError(f"peer message: {error}") from error
     if item.kind not in (_ASK, _ANSWER, _NEWS, _DEAD, _WITNESS):
         raise errors.MessageInvalidError(f"peer message of kind {item.kind}")
@@ -338,7 +338,7 @@
 def _changes(item: typing.Any) -> source.Changes:
     rows, revision, base = item
     return source.Changes(
-        tuple(_row(row) for row in rows), integer(revision), integer(base)
+        tuple(_row(row) for row in rows), decode_count(revision), decode_count(base)
     )
 
 
@@ -346,17 +346,17 @@
     key, value, revision = item
     if value is not None and not isinstance(value, bytes):
         raise TypeError("a row's value is no bytes")
-    return source.Row(_text(key), value, integer(revision))
+    return source.Row(_text(key), value, decode_count(revision))
 
 
 def _entry(item: typing.Any) -> reports.Entry:
     cookie, flows, answer_ms, silent = item
     return reports.Entry(
-        integer(cookie), integer(flows), integer(answer_ms), bool(silent)
+        decode_count(cookie), decode_count(flows), decode_count(answer_ms), bool(silent)
     )
 
 
-def member(item: typing.Any) -> peers.Member:
+def decode_member(item: typing.Any) -> peers.Member:
     """Return the member that a decoded value stands for."""
     host, zone = item
     return peers.Member(_text(host), _text(zone))
@@ -364,10 +364,12 @@
 
 def _witness(item: typing.Any) -> ejection.Witness:
     cookie, vm, age_ms = item
-    return ejection.Witness(integer(cookie), integer(vm), integer(age_ms))
+    return ejection.Witness(
+        decode_count(cookie), decode_count(vm), decode_count(age_ms)
+    )
 
 
-def integer(value: object) -> int:
+def decode_count(value: object) -> int:
     """Return a decoded value that must be a count."""
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise TypeError(f"{value!r} is no count")
--- a/eelgrasswick/cookie/gossip.py
+++ b/eelgrasswick/cookie/gossip.py
@@ -104,7 +104,7 @@
         self._reports.others = len(self.peers)
         self._exchange.report = report
         self._exchange.reads_store = reads_store
-        requests, gone = self._exchange.ask(now_ms)
+        requests, gone = self._exchange.due_requests(now_ms)
         for item in requests:
             self._send_peer(item)
         for host in gone:
@@ -114,12 +114,12 @@
     def merged(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
         """Follow rows that are new, and tell others of them."""
         self._learned(now_ms, merge, origin)
-        for item in self._exchange.news(now_ms, merge):
+        for item in self._exchange.update_messages(now_ms, merge):
             self._send_peer(item)
 
     def dead(self, cookie: int) -> None:
         """Tell others that this VM has found a target dead."""
-        for item in self._exchange.dead(clock.now_ms(), cookie):
+        for item in self._exchange.dead_target_notices(clock.now_ms(), cookie):
             self._send_peer(item)
 
     def witnesses(self, now_ms: int, items: typing.Iterable[ejection.Witness]) -> None:
@@ -129,7 +129,7 @@
         """
         for item in items:
             self._exchange.add_witness(now_ms, item)
-        for outgoing in self._exchange.witnesses(now_ms):
+        for outgoing in self._exchange.witness_messages(now_ms):
             self._send_peer(outgoing)
 
     def _on_peer(self, payload: bytes, host: str) -> None:
@@ -142,7 +142,7 @@
             return
         for item in received.sends:
             self._send_peer(item)
-        for cookie in received.dead:
+        for cookie in received.dead_cookies:
             self._check(cookie)
         for witness in received.witnesses:
             if self._witness(now_ms, witness):
--- a/eelgrasswick/cookie/offer.py
+++ b/eelgrasswick/cookie/offer.py
@@ -108,9 +108,9 @@
 def _decode_standing(payload: bytes) -> Standing:
     try:
         age_ms, members = cbor2.loads(payload)
-        known = tuple(map(exchange.member, members[:MAX_MEMBERS]))
-        return Standing(exchange.integer(age_ms), known)
-    except exchange.FAULTS as error:
+        known = tuple(map(exchange.decode_member, members[:MAX_MEMBERS]))
+        return Standing(exchange.decode_count(age_ms), known)
+    except exchange.DECODE_ERRORS as error:
         raise errors.MessageInvalidError(f"standing: {error}") from error
 
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -60,7 +60,7 @@
             self.now_ms += STEP_MS
             if self.now_ms % ASK_MS == 0:
                 for vm in self.vms.values():
-                    requests, _ = vm.exchange.ask(self.now_ms)
+                    requests, _ = vm.exchange.due_requests(self.now_ms)
                     self.deliver(vm, requests)
 
     def write(self, host: str, *rows: source.Row) -> None:
@@ -70,7 +70,7 @@
         changes = source.Changes(rows, last, vm.knowledge.revision)
         merge = vm.knowledge.merge(self.now_ms, changes)
         vm.knowledge.confirm(last, self.now_ms)
-        self.deliver(vm, vm.exchange.news(self.now_ms, merge))
+        self.deliver(vm, vm.exchange.update_messages(self.now_ms, merge))
 
     def deliver(self, sender: Vm, items: typing.Iterable[exchange.Outgoing]) -> None:
         """Deliver datagrams and what they lead to."""
@@ -187,9 +187,9 @@
     first, second = talk.vms.values()
     talk.write(first.host, _row("a", 1))
     second.knowledge.merge(0, first.knowledge.since(0))
-    requests, _ = second.exchange.ask(0)
+    requests, _ = second.exchange.due_requests(0)
     answers = first.exchange.receive(0, second.host, requests[0].payload).sends
-    second.exchange.ask(5000)
+    second.exchange.due_requests(5000)
     second.exchange.receive(5000, first.host, answers[0].payload)
     assert second.knowledge.age_ms(5000) > 4000
 
@@ -200,7 +200,7 @@
     first, second = talk.vms.values()
     talk.write(first.host, _row("a", 1))
     first.knowledge.confirm(1, talk.now_ms + watch_policy.WAIT_MS)
-    requests, _ = first.exchange.ask(talk.now_ms)
+    requests, _ = first.exchange.due_requests(talk.now_ms)
     assert second.exchange.receive(talk.now_ms, first.host, requests[0].payload).sends
 
 
@@ -253,18 +253,25 @@
     talk.run(4000)
     first = talk.vms["10.0.0.1"]
     heard: list[str] = []
-    waiting = [(first, item) for item in first.exchange.dead(talk.now_ms, 77)]
+    waiting = [
+        (first, item) for item in first.exchange.dead_target_notices(talk.now_ms, 77)
+    ]
     while waiting:
         sender, item = waiting.pop(0)
         taken = talk.vms[item.host]
         told = taken.exchange.receive(talk.now_ms, sender.host, item.payload)
-        assert told.dead == (77,)
+        assert told.dead_cookies == (77,)
         heard.append(item.host)
         waiting += [(taken, more) for more in told.sends]
     assert set(heard) >= set(talk.vms) - {"10.0.0.1"}
-    assert len(heard) <= 20 * 2 * exchange.SPREAD
-    assert first.exchange.dead(talk.now_ms + 1, 77) == []
-    assert first.exchange.dead(talk.now_ms + exchange.TOLD_MS, 77) != []
+    assert len(heard) <= 20 * 2 * exchange.PUSH_FAN_OUT
+    assert first.exchange.dead_target_notices(talk.now_ms + 1, 77) == []
+    assert (
+        first.exchange.dead_target_notices(
+            talk.now_ms + exchange.DEAD_NOTICE_INTERVAL_MS, 77
+        )
+        != []
+    )
 
 
 def test_witness_reaches_the_zone(talk: Talk) -> None:
@@ -275,7 +282,7 @@
     for _ in range(6):
         talk.now_ms += 100
         for vm in talk.vms.values():
-            for item in vm.exchange.witnesses(talk.now_ms):
+            for item in vm.exchange.witness_messages(talk.now_ms):
                 told = talk.vms[item.host].exchange.receive(
                     talk.now_ms, vm.host, item.payload
                 )
@@ -293,22 +300,22 @@
     """Guards against targets that look overdue from behind a cut."""
     first, second = talk.vms["10.0.0.1"], talk.vms["10.0.0.2"]
     first.exchange.add_witness(talk.now_ms, ejection.Witness(77, 1, 0))
-    payload = first.exchange.witnesses(talk.now_ms)[0].payload
+    payload = first.exchange.witness_messages(talk.now_ms)[0].payload
     assert not second.exchange.receive(talk.now_ms, first.host, payload).witnesses
 
 
 def test_many_witnesses_are_bounded(talk: Talk) -> None:
     """Guards against a storm of witnesses that grows without bound."""
     first = talk.vms["10.0.0.1"]
-    for cookie in range(2 * exchange.MAX_WAITING):
+    for cookie in range(2 * exchange.MAX_PENDING_WITNESSES):
         first.exchange.add_witness(0, ejection.Witness(2**32 - cookie, 2**32 - 1, 0))
     told = 0
     for _ in range(100):
-        sends = first.exchange.witnesses(1000)
+        sends = first.exchange.witness_messages(1000)
         told += len(sends)
         assert all(len(item.payload) <= exchange.MAX_BYTES for item in sends)
-    packets = -(-exchange.MAX_WAITING // exchange.MAX_WITNESSES)
-    assert told <= packets * exchange.WITNESS_SPREAD
+    packets = -(-exchange.MAX_PENDING_WITNESSES // exchange.MAX_WITNESSES)
+    assert told <= packets * exchange.WITNESS_FAN_OUT
 
 
 def test_word_of_a_dead_target_leaves_the_sender_s_report() -> None:
@@ -320,7 +327,7 @@
     talk.run(1000)
     second.reports.tick(talk.now_ms)
     assert second.reports.flows_on(5) == 9
-    for item in first.exchange.dead(talk.now_ms, 77):
+    for item in first.exchange.dead_target_notices(talk.now_ms, 77):
         second.exchange.receive(talk.now_ms, first.host, item.payload)
     second.reports.tick(talk.now_ms)
     assert second.reports.flows_on(5) == 9
