--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -119,9 +119,9 @@
         self._observations.paused(now_ms)
         twisted_errors.take(self._log, self._stats)
         self._log.write("started", zone=vm.zone, seeds=len(self._settings.fleet.seeds))
-        self._gossip.peers.named(now_ms, self._settings.fleet.seeds)
+        self._gossip.peers.add_hosts(now_ms, self._settings.fleet.seeds)
         if self._members:
-            self._gossip.peers.introduced(now_ms, self._members)
+            self._gossip.peers.add_members(now_ms, self._members)
             self._store_watch.settle(now_ms)
         self._listen()
         self._take_packets()
@@ -148,7 +148,7 @@
     def reload(self, loaded: settings.Settings) -> None:
         """Take settings that have changed; addresses stay as they were."""
         self._settings = loaded
-        self._gossip.peers.named(clock.now_ms(), loaded.fleet.seeds)
+        self._gossip.peers.add_hosts(clock.now_ms(), loaded.fleet.seeds)
         self._log.write("settings_reloaded", seeds=len(loaded.fleet.seeds))
 
     def refuse_settings(self, error: errors.EelgrasswickError) -> None:
--- a/eelgrasswick/cookie/exchange.py
+++ b/eelgrasswick/cookie/exchange.py
@@ -118,7 +118,7 @@
         """Return the requests that are due, and VMs that count as gone now."""
         self._forget_asked(now_ms)
         hosts = self._peers.next_hosts()
-        gone = [host for host in hosts if self._peers.asked(host)]
+        gone = [host for host in hosts if self._peers.record_request(host)]
         for host in gone:
             self._reports.forget(host)
         return [self._request(now_ms, host) for host in hosts], gone
@@ -129,7 +129,10 @@
             return []
         base = min(row.revision for row in merge.rows) - 1
         payload = self._encode(now_ms, _NEWS, 0, self._short(base, ()), ())
-        return [Outgoing(host, payload) for host in self._peers.spread(PUSH_FAN_OUT)]
+        return [
+            Outgoing(host, payload)
+            for host in self._peers.select_push_hosts(PUSH_FAN_OUT)
+        ]
 
     def dead_target_notices(self, now_ms: int, cookie: int) -> list[Outgoing]:
         """Return the datagrams that tell some others of a dead target.
@@ -147,7 +150,10 @@
         self._told_ms[cookie] = now_ms
         word = (reports.Entry(cookie, 0, 0, True),)
         payload = self._encode(now_ms, _DEAD, 0, None, word)
-        return [Outgoing(host, payload) for host in self._peers.spread(PUSH_FAN_OUT)]
+        return [
+            Outgoing(host, payload)
+            for host in self._peers.select_push_hosts(PUSH_FAN_OUT)
+        ]
 
     def add_witness(self, now_ms: int, item: ejection.Witness) -> None:
         """Have a witness told to other VMs of the zone with the next ones."""
@@ -168,7 +174,7 @@
             item._replace(age_ms=item.age_ms + now_ms - at_ms) for item, at_ms in told
         ]
         payload = self._encode(now_ms, _WITNESS, 0, None, aged)
-        hosts = self._peers.neighbours(WITNESS_FAN_OUT)
+        hosts = self._peers.select_same_zone(WITNESS_FAN_OUT)
         return [Outgoing(host, payload) for host in hosts]
 
     def receive(self, now_ms: int, host: str, payload: bytes) -> Received:
@@ -178,8 +184,8 @@
             errors.MessageInvalidError: It is no message of this kind.
         """
         item = _decode(payload)
-        joined = self._peers.heard(now_ms, host, item.zone, item.reads_store)
-        self._peers.introduced(now_ms, item.members)
+        joined = self._peers.record_contact(now_ms, host, item.zone, item.reads_store)
+        self._peers.add_members(now_ms, item.members)
         if item.kind in (_ASK, _ANSWER):
             self._reports.take(now_ms, host, item.report)
         merge, fetch = self._merge(now_ms, host, item)
@@ -219,7 +225,7 @@
         if asked is not None and asked[0] == host:
             confirmed_ms = asked[1] - item.age_ms
             self._knowledge.confirm(item.revision, confirmed_ms)
-            self._peers.answered(host, confirmed_ms)
+            self._peers.record_response(host, confirmed_ms)
 
     def _merge(
         self, now_ms: int, host: str, item: _Message
@@ -324,7 +330,7 @@
             decode_count(revision),
             decode_count(age_ms),
             None if changes is None else _changes(changes),
-            tuple(map(decode_member, members[: peers.SAMPLE])),
+            tuple(map(decode_member, members[: peers.SAMPLE_SIZE])),
             () if told else tuple(map(_entry, entries[: reports.MAX_ENTRIES])),
             tuple(map(_witness, entries[:MAX_WITNESSES])) if told else (),
         )
--- a/eelgrasswick/cookie/gossip.py
+++ b/eelgrasswick/cookie/gossip.py
@@ -109,7 +109,7 @@
             self._send_peer(item)
         for host in gone:
             self._log.write("peer_lost", peer=host, alive=len(self.peers))
-        self.peers.forget(now_ms)
+        self.peers.expire(now_ms)
 
     def merged(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
         """Follow rows that are new, and tell others of them."""
@@ -170,7 +170,7 @@
             self._fetching.discard(host)
         now_ms = clock.now_ms()
         self.merged(now_ms, taken.learn(now_ms, asked_ms, self._knowledge), host)
-        self.peers.introduced(now_ms, taken.standing.members)
+        self.peers.add_members(now_ms, taken.standing.members)
 
     def _send_peer(self, item: exchange.Outgoing) -> None:
         self.port.send(item.payload, model.Address(item.host, self._peer_port))
--- a/eelgrasswick/cookie/peers.py
+++ b/eelgrasswick/cookie/peers.py
@@ -16,16 +16,16 @@
 # A VM that was not heard for so long is forgotten; addresses are used anew. In a
 # large fleet each is heard once or twice while all are asked in turn, so that the
 # span is no shorter than some of these rounds.
-FORGET_MS: typing.Final = 30_000
-FORGET_ROUNDS: typing.Final = 2
+EXPIRY_MS: typing.Final = 30_000
+EXPIRY_ROUNDS: typing.Final = 2
 # Addresses that ride on each answer.
-SAMPLE: typing.Final = 6
+SAMPLE_SIZE: typing.Final = 6
 # One of this many VMs with the freshest knowledge is asked each time, so that
 # one in four requests of a zone's 20 VMs, 20 a second, reach who watches.
-FRESHEST: typing.Final = 4
+FRESHEST_CANDIDATES: typing.Final = 4
 # VMs that were just named are asked so many at a time; a fleet that starts all
 # at once knows itself in about three seconds.
-NEW_AT_ONCE: typing.Final = 4
+MAX_NEW_HOSTS_PER_REQUEST: typing.Final = 4
 # Part of the VMs taken for gone that are asked in each turn; one that is back
 # is mostly heard before, as it asks others.
 RETRY_SHARE: typing.Final = 0.25
@@ -52,9 +52,9 @@
 
     __slots__ = (
         "confirmed_ms",
-        "heard_ms",
+        "last_contact_ms",
         "host",
-        "listed_ms",
+        "added_ms",
         "reads_store",
         "unanswered",
         "zone",
@@ -64,8 +64,8 @@
         """Begin with an address that was named by someone."""
         self.host = host
         self.zone = ""
-        self.heard_ms = 0
-        self.listed_ms = now_ms
+        self.last_contact_ms = 0
+        self.added_ms = now_ms
         self.unanswered = 0
         self.reads_store = True
         self.confirmed_ms = 0
@@ -73,12 +73,12 @@
     @property
     def alive(self) -> bool:
         """True when it was heard and answers."""
-        return self.heard_ms > 0 and self.unanswered < MAX_UNANSWERED
+        return self.last_contact_ms > 0 and self.unanswered < MAX_UNANSWERED
 
     @property
-    def expected(self) -> bool:
+    def presumed_alive(self) -> bool:
         """True when it is alive, or another VM says so and nothing speaks against."""
-        return self.alive or (not self.heard_ms and not self.unanswered)
+        return self.alive or (not self.last_contact_ms and not self.unanswered)
 
 
 class Peers:
@@ -104,7 +104,7 @@
         """Return the number of VMs that are alive."""
         return sum(peer.alive for peer in self._peers.values())
 
-    def named(self, now_ms: int, hosts: typing.Iterable[str]) -> None:
+    def add_hosts(self, now_ms: int, hosts: typing.Iterable[str]) -> None:
         """Take addresses that settings or another VM named."""
         for host in hosts:
             if host != self._host and host not in self._peers:
@@ -113,36 +113,38 @@
                 # knowing only itself it would call the store for its zone.
                 self._round.insert(0, host)
 
-    def introduced(self, now_ms: int, members: typing.Iterable[Member]) -> None:
+    def add_members(self, now_ms: int, members: typing.Iterable[Member]) -> None:
         """Take VMs that another VM takes for alive."""
         for item in members:
-            self.named(now_ms, (item.host,))
+            self.add_hosts(now_ms, (item.host,))
             peer = self._peers.get(item.host)
-            if peer is not None and not peer.heard_ms:
+            if peer is not None and not peer.last_contact_ms:
                 peer.zone = item.zone
 
-    def heard(self, now_ms: int, host: str, zone: str, reads_store: bool) -> bool:
+    def record_contact(
+        self, now_ms: int, host: str, zone: str, reads_store: bool
+    ) -> bool:
         """Note a message of a VM; True when it was not alive before."""
-        self.named(now_ms, (host,))
+        self.add_hosts(now_ms, (host,))
         peer = self._peers.get(host)
         if peer is None:
             return False
         back = not peer.alive
         peer.zone = zone
-        peer.heard_ms = now_ms
+        peer.last_contact_ms = now_ms
         peer.unanswered = 0
         peer.reads_store = reads_store
         return back
 
-    def asked(self, host: str) -> bool:
+    def record_request(self, host: str) -> bool:
         """Note a request to a VM; True when it counts as gone from now on."""
         peer = self._peers.get(host)
         if peer is None:
             return False
         peer.unanswered += 1
-        return peer.unanswered == MAX_UNANSWERED and peer.heard_ms > 0
+        return peer.unanswered == MAX_UNANSWERED and peer.last_contact_ms > 0
 
-    def answered(self, host: str, confirmed_ms: int) -> None:
+    def record_response(self, host: str, confirmed_ms: int) -> None:
         """Note how fresh the knowledge of a VM is that answered."""
         peer = self._peers.get(host)
         if peer is not None:
@@ -169,9 +171,9 @@
             ]
             self._rng.shuffle(self._round)
         chosen: list[str] = []
-        while self._round and len(chosen) < NEW_AT_ONCE:
+        while self._round and len(chosen) < MAX_NEW_HOSTS_PER_REQUEST:
             peer = self._peers.get(self._round[0])
-            new = peer is not None and not peer.heard_ms and not peer.unanswered
+            new = peer is not None and not peer.last_contact_ms and not peer.unanswered
             if chosen and not new:
                 break
             del self._round[0]
@@ -181,16 +183,18 @@
 
     def _freshest(self) -> list[str]:
         alive = self._alive()
-        best = heapq.nlargest(FRESHEST, alive, key=lambda peer: peer.confirmed_ms)
+        best = heapq.nlargest(
+            FRESHEST_CANDIDATES, alive, key=lambda peer: peer.confirmed_ms
+        )
         return [peer.host for peer in best]
 
-    def spread(self, count: int) -> list[str]:
+    def select_push_hosts(self, count: int) -> list[str]:
         """Return whom to tell news: some of the own zone and some of others."""
         alive = self._alive()
         others = [peer.host for peer in alive if peer.zone != self._zone]
-        return [*self.neighbours(count), *self._some(others, count)]
+        return [*self.select_same_zone(count), *self._some(others, count)]
 
-    def neighbours(self, count: int) -> list[str]:
+    def select_same_zone(self, count: int) -> list[str]:
         """Return some live VMs of the own zone."""
         own = [peer.host for peer in self._alive() if peer.zone == self._zone]
         return self._some(own, count)
@@ -208,7 +212,7 @@
     def sample(self) -> list[Member]:
         """Return some live VMs to name to others."""
         alive = self._alive()
-        some = self._rng.sample(alive, min(SAMPLE, len(alive)))
+        some = self._rng.sample(alive, min(SAMPLE_SIZE, len(alive)))
         return [Member(peer.host, peer.zone) for peer in some]
 
     def rank(self) -> int:
@@ -218,21 +222,21 @@
         """
         mine = _order(self._host)
         return sum(
-            peer.expected
+            peer.presumed_alive
             and peer.reads_store
             and peer.zone == self._zone
             and _order(peer.host) < mine
             for peer in self._peers.values()
         )
 
-    def forget(self, now_ms: int) -> None:
+    def expire(self, now_ms: int) -> None:
         """Forget VMs that were not heard for long."""
         if self._began_ms is None:
             self._began_ms = now_ms
         turn_ms = (now_ms - self._began_ms) / max(1, self._turns)
-        span_ms = max(FORGET_MS, FORGET_ROUNDS * turn_ms * len(self._peers))
+        span_ms = max(EXPIRY_MS, EXPIRY_ROUNDS * turn_ms * len(self._peers))
         for peer in list(self._peers.values()):
-            if now_ms - max(peer.heard_ms, peer.listed_ms) > span_ms:
+            if now_ms - max(peer.last_contact_ms, peer.added_ms) > span_ms:
                 del self._peers[peer.host]
 
     def _alive(self) -> list[Peer]:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -52,7 +52,7 @@
         self._loss = loss
         self._rng = random.Random(5)
         for vm in self.vms.values():
-            vm.peers.named(0, list(self.vms)[:3])
+            vm.peers.add_hosts(0, list(self.vms)[:3])
 
     def run(self, duration_ms: int) -> None:
         """Let time pass."""
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,16 +13,16 @@
 def others() -> peers.Peers:
     made = peers.Peers("10.0.0.1", "z1", random.Random(1))
     for number in range(2, 8):
-        made.heard(1, f"10.0.0.{number}", f"z{number % 3 + 1}", True)
+        made.record_contact(1, f"10.0.0.{number}", f"z{number % 3 + 1}", True)
     return made
 
 
 def test_vm_that_leaves_two_requests_unanswered_is_gone(others: peers.Peers) -> None:
     """A VM was killed. Counted on, it would watch the store for its zone."""
-    assert not others.asked("10.0.0.3")
-    assert others.asked("10.0.0.3")
+    assert not others.record_request("10.0.0.3")
+    assert others.record_request("10.0.0.3")
     assert len(others) == 5
-    assert others.heard(10, "10.0.0.3", "z1", True)
+    assert others.record_contact(10, "10.0.0.3", "z1", True)
     assert len(others) == 6
 
 
@@ -34,7 +34,7 @@
         made = peers.Peers(host, "z1", random.Random(1))
         for other in hosts:
             if other != host:
-                made.heard(1, other, "z1", True)
+                made.record_contact(1, other, "z1", True)
         ranks.append(made.rank())
     assert sorted(ranks) == list(range(8))
 
@@ -42,7 +42,7 @@
 def test_vm_that_the_store_refuses_is_not_first(others: peers.Peers) -> None:
     """The store turns the first VM of a zone away and serves the others."""
     for number in range(2, 8):
-        others.heard(1, f"10.0.0.{number}", "z1", False)
+        others.record_contact(1, f"10.0.0.{number}", "z1", False)
     assert others.rank() == 0
 
 
@@ -52,21 +52,21 @@
 
 
 def test_unknown_vms_are_asked_first(others: peers.Peers) -> None:
-    others.named(5, ["10.0.0.50", "10.0.0.1"])
+    others.add_hosts(5, ["10.0.0.50", "10.0.0.1"])
     assert "10.0.0.50" in others.next_hosts()
     assert "10.0.0.1" not in {host for _ in range(20) for host in others.next_hosts()}
 
 
 def test_news_go_to_the_own_zone_and_to_others(others: peers.Peers) -> None:
-    told = others.spread(1)
+    told = others.select_push_hosts(1)
     zones = {int(host.rpartition(".")[2]) % 3 for host in told}
     assert len(told) == 2
     assert len(zones) == 2
 
 
 def test_vms_that_were_not_heard_for_long_are_forgotten(others: peers.Peers) -> None:
-    others.heard(peers.FORGET_MS, "10.0.0.2", "z1", True)
-    others.forget(peers.FORGET_MS + 2)
+    others.record_contact(peers.EXPIRY_MS, "10.0.0.2", "z1", True)
+    others.expire(peers.EXPIRY_MS + 2)
     assert len(others) == 1
 
 
@@ -77,7 +77,7 @@
     """
     hosts = [f"10.0.1.{number}" for number in range(20)]
     before = others.rank()
-    others.introduced(5, [peers.Member(host, "z1") for host in hosts])
+    others.add_members(5, [peers.Member(host, "z1") for host in hosts])
     assert others.rank() > before
     assert len(others) == 6
 
@@ -86,9 +86,9 @@
     """Guards against a dead VM, named by others, that would watch the store."""
     hosts = [f"10.0.1.{number}" for number in range(20)]
     before = others.rank()
-    others.introduced(5, [peers.Member(host, "z1") for host in hosts])
+    others.add_members(5, [peers.Member(host, "z1") for host in hosts])
     for host in hosts:
-        others.asked(host)
+        others.record_request(host)
     assert others.rank() == before
 
 
@@ -97,12 +97,12 @@
     made = peers.Peers("10.0.0.1", "z1", random.Random(1))
     hosts = [f"10.1.{number // 250}.{number % 250}" for number in range(400)]
     for host in hosts:
-        made.heard(1, host, "z1", True)
+        made.record_contact(1, host, "z1", True)
     for step in range(1, 1201):
         now_ms = 250 * step
         for host in made.next_hosts():
-            made.heard(now_ms, host, "z1", True)
-        made.forget(now_ms)
+            made.record_contact(now_ms, host, "z1", True)
+        made.expire(now_ms)
     assert len(made) == 400
 
 
