--- a/eelgrasswick/cookie/exchange.py
+++ b/eelgrasswick/cookie/exchange.py
@@ -148,7 +148,7 @@
         if cookie in self._told_ms:
             return []
         self._told_ms[cookie] = now_ms
-        word = (reports.Entry(cookie, 0, 0, True),)
+        word = (reports.TargetReport(cookie, 0, 0, True),)
         payload = self._encode(now_ms, _DEAD, 0, None, word)
         return [
             Outgoing(host, payload)
@@ -187,7 +187,7 @@
         joined = self._peers.record_contact(now_ms, host, item.zone, item.reads_store)
         self._peers.add_members(now_ms, item.members)
         if item.kind in (_ASK, _ANSWER):
-            self._reports.take(now_ms, host, item.report)
+            self._reports.record(now_ms, host, item.report)
         merge, fetch = self._merge(now_ms, host, item)
         sends: list[Outgoing] = []
         if item.kind == _ASK:
@@ -255,7 +255,7 @@
         kind: int,
         number: int,
         changes: source.Changes | None,
-        entries: typing.Iterable[reports.Entry | ejection.Witness],
+        entries: typing.Iterable[reports.TargetReport | ejection.Witness],
     ) -> bytes:
         item = [
             kind,
@@ -355,9 +355,9 @@
     return source.Row(_text(key), value, decode_count(revision))
 
 
-def _entry(item: typing.Any) -> reports.Entry:
+def _entry(item: typing.Any) -> reports.TargetReport:
     cookie, flows, answer_ms, silent = item
-    return reports.Entry(
+    return reports.TargetReport(
         decode_count(cookie), decode_count(flows), decode_count(answer_ms), bool(silent)
     )
 
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -335,9 +335,9 @@
             return False
         return self._silence.silent(cookie) or self._stalled.silent(cookie)
 
-    def _entry(self, cookie: int) -> reports.Entry:
+    def _entry(self, cookie: int) -> reports.TargetReport:
         mean_ms = self.speeds.mean_ms(cookie)
-        return reports.Entry(
+        return reports.TargetReport(
             cookie,
             self.tracker.flows_on(cookie),
             int(mean_ms) if mean_ms is not None else 0,
@@ -348,7 +348,7 @@
         if self.liveness.dead(now_ms, target.cookie):
             # Also not for a trial: its flow would be reset with the next packet.
             return True
-        witnesses = self.reports.silent_for(now_ms, target.cookie)
+        witnesses = self.reports.count_silent_reports(now_ms, target.cookie)
         silent = any(
             book.suspected(now_ms, target.cookie, witnesses)
             for book in (self._silence, self._stalled)
--- a/eelgrasswick/cookie/reports.py
+++ b/eelgrasswick/cookie/reports.py
@@ -14,17 +14,17 @@
 import collections
 import typing
 
-KEEP_MS: typing.Final = 10_000
+RETENTION_MS: typing.Final = 10_000
 # In a large fleet a VM holds recent reports of a part of the others only, which is
 # taken for a sample of all. Fewer than these are none.
-LEAST_SAMPLE: typing.Final = 16
+MIN_SAMPLE_VMS: typing.Final = 16
 # News of silence is acted on only while it is new.
-SILENT_MS: typing.Final = 1500
+SILENCE_VALID_MS: typing.Final = 1500
 # Bounds a report at about 600 bytes, half of a datagram.
 MAX_ENTRIES: typing.Final = 60
 
 
-class Entry(typing.NamedTuple):
+class TargetReport(typing.NamedTuple):
     """What one VM knows of one target.
 
     Attributes:
@@ -40,7 +40,7 @@
     silent: bool
 
 
-Report = tuple[Entry, ...]
+Report = tuple[TargetReport, ...]
 
 
 class Reports:
@@ -62,7 +62,7 @@
         # When each VM last found a target silent, by target and VM.
         self._silent_ms: dict[int, dict[str, int]] = {}
 
-    def take(self, now_ms: int, host: str, report: Report) -> None:
+    def record(self, now_ms: int, host: str, report: Report) -> None:
         """Take a VM's report in place of its last one."""
         self.forget(host)
         self._reports[host] = (report, now_ms)
@@ -86,11 +86,15 @@
 
     def tick(self, now_ms: int) -> None:
         """Drop what is old."""
-        old = [h for h, (_, at_ms) in self._reports.items() if now_ms - at_ms > KEEP_MS]
+        old = [
+            h
+            for h, (_, at_ms) in self._reports.items()
+            if now_ms - at_ms > RETENTION_MS
+        ]
         for host in old:
             self.forget(host)
         held = len(self._reports)
-        self._scale = max(1.0, self.others / held) if held >= LEAST_SAMPLE else 1.0
+        self._scale = max(1.0, self.others / held) if held >= MIN_SAMPLE_VMS else 1.0
 
     def __len__(self) -> int:
         """Return of how many VMs a recent report is held."""
@@ -104,7 +108,7 @@
         """Return the answer times that other VMs see of a target."""
         return list(self._answers_ms.get(cookie, {}).values())
 
-    def silent_for(self, now_ms: int, cookie: int) -> int:
+    def count_silent_reports(self, now_ms: int, cookie: int) -> int:
         """Return how many other VMs lately found a target silent.
 
         It is asked for each target at each opening packet; a search of all reports
@@ -113,7 +117,7 @@
         found = self._silent_ms.get(cookie)
         if found is None:
             return 0
-        return sum(now_ms - at_ms <= SILENT_MS for at_ms in found.values())
+        return sum(now_ms - at_ms <= SILENCE_VALID_MS for at_ms in found.values())
 
 
 def _discard(book: dict[int, dict[str, int]], cookie: int, host: str) -> None:
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -237,7 +237,7 @@
             report = vm.seen.report()
             for other, heard in enumerate(self.vms):
                 if other != number and not self.apart(vm.zone, heard.zone):
-                    heard.seen.reports.take(self._due.now_ms, f"vm{number}", report)
+                    heard.seen.reports.record(self._due.now_ms, f"vm{number}", report)
         self._due.later(REPORT_MS, self._exchange_reports)
 
     def _probed(self, vm: Vm, target: model.Target) -> None:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -209,7 +209,7 @@
 
     VMs of other zones see none of these flows themselves.
     """
-    full = tuple(reports.Entry(2**32 - n, 500, 25, True) for n in range(60))
+    full = tuple(reports.TargetReport(2**32 - n, 500, 25, True) for n in range(60))
     for vm in talk.vms.values():
         vm.exchange.report = full
     talk.run(10_000)
@@ -323,7 +323,7 @@
     talk = Talk(2, 1)
     talk.run(1000)
     first, second = talk.vms.values()
-    first.exchange.report = (reports.Entry(5, 9, 0, False),)
+    first.exchange.report = (reports.TargetReport(5, 9, 0, False),)
     talk.run(1000)
     second.reports.tick(talk.now_ms)
     assert second.reports.flows_on(5) == 9
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -110,7 +110,7 @@
     """Guards against a large fleet whose VMs count a third of all flows."""
     book = reports.Reports()
     for number in range(20):
-        book.take(0, f"vm{number}", (reports.Entry(7, 3, 20, False),))
+        book.record(0, f"vm{number}", (reports.TargetReport(7, 3, 20, False),))
     book.others = 60
     book.tick(10)
     assert book.flows_on(7) == 180
@@ -120,7 +120,7 @@
 def test_few_reports_stand_for_themselves() -> None:
     """Guards against a VM that starts and takes one report for that of hundreds."""
     book = reports.Reports()
-    book.take(0, "vm1", (reports.Entry(7, 3, 20, False),))
+    book.record(0, "vm1", (reports.TargetReport(7, 3, 20, False),))
     book.others = 200
     book.tick(10)
     assert book.flows_on(7) == 3
@@ -128,30 +128,30 @@
 
 def test_reports_of_all_vms_are_summed() -> None:
     book = reports.Reports()
-    book.take(0, "a", (reports.Entry(7, 3, 20, False),))
-    book.take(0, "b", (reports.Entry(7, 4, 30, True),))
+    book.record(0, "a", (reports.TargetReport(7, 3, 20, False),))
+    book.record(0, "b", (reports.TargetReport(7, 4, 30, True),))
     book.tick(10)
     assert book.flows_on(7) == 7
     assert list(book.answers_ms(7)) == [20, 30]
-    assert book.silent_for(10, 7) == 1
-    assert book.silent_for(reports.SILENT_MS + 1, 7) == 0
+    assert book.count_silent_reports(10, 7) == 1
+    assert book.count_silent_reports(reports.SILENCE_VALID_MS + 1, 7) == 0
 
 
 def test_report_of_a_vm_that_is_gone_does_not_count() -> None:
     """A VM was killed; its flows pass other VMs now and are counted there."""
     book = reports.Reports()
-    book.take(0, "a", (reports.Entry(7, 3, 20, False),))
+    book.record(0, "a", (reports.TargetReport(7, 3, 20, False),))
     book.forget("a")
     book.tick(10)
     assert book.flows_on(7) == 0
-    book.take(0, "b", (reports.Entry(7, 3, 20, False),))
-    book.tick(reports.KEEP_MS + 1)
+    book.record(0, "b", (reports.TargetReport(7, 3, 20, False),))
+    book.tick(reports.RETENTION_MS + 1)
     assert book.flows_on(7) == 0
 
 
 _ENTRIES = strategies.lists(
     strategies.builds(
-        reports.Entry,
+        reports.TargetReport,
         strategies.integers(1, 4),
         strategies.integers(0, 3),
         strategies.integers(0, 3),
@@ -166,13 +166,13 @@
     strategies.lists(strategies.tuples(strategies.integers(1, 3), _ENTRIES))
 )
 def test_sums_are_those_of_the_last_reports(
-    taken: list[tuple[int, list[reports.Entry]]],
+    taken: list[tuple[int, list[reports.TargetReport]]],
 ) -> None:
     """Guards against sums that drift as reports are replaced and dropped."""
     book = reports.Reports()
-    last: dict[int, list[reports.Entry]] = {}
+    last: dict[int, list[reports.TargetReport]] = {}
     for vm, entries in taken:
-        book.take(0, f"vm{vm}", tuple(entries))
+        book.record(0, f"vm{vm}", tuple(entries))
         last[vm] = entries
     held = [entry for entries in last.values() for entry in entries]
     for cookie in range(1, 5):
@@ -180,6 +180,8 @@
         assert book.flows_on(cookie) == sum(entry.flows for entry in same)
         times_ms = [entry.answer_ms for entry in same if entry.answer_ms]
         assert sorted(book.answers_ms(cookie)) == sorted(times_ms)
-        assert book.silent_for(0, cookie) == sum(entry.silent for entry in same)
-    book.tick(reports.KEEP_MS + 1)
+        assert book.count_silent_reports(0, cookie) == sum(
+            entry.silent for entry in same
+        )
+    book.tick(reports.RETENTION_MS + 1)
     assert all(book.flows_on(cookie) == 0 for cookie in range(1, 5))
--- a/tests/test_placing_cost.py
+++ b/tests/test_placing_cost.py
@@ -17,7 +17,7 @@
 from eelgrasswick.emulation import cookie_scenario
 
 
-class _Counted(reports.Entry):
+class _Counted(reports.TargetReport):
     """An entry of a report that counts how often it is looked at."""
 
     looks: typing.ClassVar[int] = 0
@@ -50,7 +50,7 @@
     made = observations.Observations("z1", known)
     for number in range(60):
         report = tuple(_Counted(t.cookie, 1, 30, False) for t in known.targets)
-        made.reports.take(0, f"vm{number}", report)
+        made.reports.record(0, f"vm{number}", report)
     made.tick(0)
     return made
 
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -202,8 +202,8 @@
     A VM that counts its own flows only would fill it further.
     """
     first, second, elsewhere = known.accepting("desk")
-    filled = [reports.Entry(t.cookie, 30, 0, False) for t in (first, elsewhere)]
-    seen.reports.take(0, "10.0.0.8", tuple(filled))
+    filled = [reports.TargetReport(t.cookie, 30, 0, False) for t in (first, elsewhere)]
+    seen.reports.record(0, "10.0.0.8", tuple(filled))
     seen.tick(0)
     targets = []
     for port in range(41_000, 41_020):
--- a/tests/test_steering_silent.py
+++ b/tests/test_steering_silent.py
@@ -50,9 +50,9 @@
     This VM would lose two callers of its own before it knew.
     """
     first = steering_parts.opened(steers)
-    silent = (reports.Entry(first.cookie, 3, 0, silent=True),)
-    seen.reports.take(0, "10.0.0.8", silent)
-    seen.reports.take(0, "10.0.0.9", silent)
+    silent = (reports.TargetReport(first.cookie, 3, 0, silent=True),)
+    seen.reports.record(0, "10.0.0.8", silent)
+    seen.reports.record(0, "10.0.0.9", silent)
     targets = {
         steering_parts.opened(steers, 10, port=41_000 + number) for number in range(20)
     }
@@ -64,7 +64,9 @@
 ) -> None:
     """One VM's own link is broken and it finds every target silent."""
     first = steering_parts.opened(steers)
-    seen.reports.take(0, "10.0.0.8", (reports.Entry(first.cookie, 3, 0, True),))
+    seen.reports.record(
+        0, "10.0.0.8", (reports.TargetReport(first.cookie, 3, 0, True),)
+    )
     targets = {
         steering_parts.opened(steers, 10, port=41_000 + number) for number in range(20)
     }
@@ -86,8 +88,8 @@
     seen.unanswered(0, far[0])
     seen.unanswered(0, far[1])
     own = [item for item in known.accepting("desk") if item.zone == "z1"]
-    full = tuple(reports.Entry(item.cookie, 90, 0, False) for item in own)
-    seen.reports.take(0, "10.0.0.8", full)
+    full = tuple(reports.TargetReport(item.cookie, 90, 0, False) for item in own)
+    seen.reports.record(0, "10.0.0.8", full)
     seen.tick(0)
     targets = {
         steering_parts.opened(steers, 10, port=41_000 + number) for number in range(20)
