--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -212,7 +212,9 @@
         self._observations.cold.limits.follow(now_ms, vms.hosts(), len(vms))
         self._carrier.tell_overloads()
         self._catalog.tick(now_ms, self._knowledge.confirmed_ms)
-        self._gossip.ask(now_ms, self._observations.report(), self._store_watch.answers)
+        self._gossip.ask(
+            now_ms, self._observations.report(), self._store_watch.store_responds
+        )
 
     def _check(self) -> None:
         now_ms = self._carrier.wake()
--- a/eelgrasswick/cookie/store_watch.py
+++ b/eelgrasswick/cookie/store_watch.py
@@ -8,7 +8,7 @@
 from eelgrasswick import errors
 from eelgrasswick.cookie import clock, event_log, knowledge, source, watch_policy
 
-Merged = typing.Callable[[int, knowledge.Merge, str], None]
+MergeCallback = typing.Callable[[int, knowledge.Merge, str], None]
 _ORIGIN: typing.Final = "store"
 
 
@@ -19,7 +19,7 @@
         self,
         calls: source.ChangeSource,
         known: knowledge.Knowledge,
-        merged: Merged,
+        merged: MergeCallback,
         log: event_log.EventLog,
         rng: random.Random,
     ) -> None:
@@ -49,7 +49,7 @@
         self._policy.settle(now_ms)
 
     @property
-    def answers(self) -> bool:
+    def store_responds(self) -> bool:
         """False while the store does not answer this VM."""
         return self._policy.failures < 2
 
@@ -91,7 +91,7 @@
     async def _watched(self) -> None:
         asked_ms = clock.now_ms()
         before = self._knowledge.revision
-        changes = await self._source.changes(before, watch_policy.WAIT_MS)
+        changes = await self._source.changes(before, watch_policy.WATCH_TIMEOUT_MS)
         if not changes.rows and changes.revision > before:
             # The store has gone on without telling what changed. Taken over,
             # its revision would hide those changes for good.
@@ -99,7 +99,7 @@
             return
         self._take(changes)
         # With nothing to tell, the store has waited all the while.
-        waited_ms = 0 if changes.rows else watch_policy.WAIT_MS
+        waited_ms = 0 if changes.rows else watch_policy.WATCH_TIMEOUT_MS
         self._knowledge.confirm(changes.revision, asked_ms + waited_ms)
 
     def _take(self, changes: source.Changes) -> None:
@@ -116,11 +116,11 @@
                 answer_ms=now_ms - asked_ms,
                 revision=self._knowledge.revision,
             )
-        self._policy.answered(now_ms, self._rank)
+        self._policy.record_success(now_ms, self._rank)
 
     def _failed(self, error: errors.EelgrasswickError) -> None:
         now_ms = clock.now_ms()
-        wait_ms = self._policy.failed(now_ms, self._rank, self._rng.random())
+        wait_ms = self._policy.record_failure(now_ms, self._rank, self._rng.random())
         self._note("store_lost", error, retry_ms=wait_ms)
 
     def _note(
--- a/eelgrasswick/cookie/watch_policy.py
+++ b/eelgrasswick/cookie/watch_policy.py
@@ -14,24 +14,24 @@
 # ``GAP_MS`` it is how old a watcher's knowledge gets in good times. Asking more
 # rarely costs calls instead of saving them: the ages of others would pass
 # ``STALE_MS``, and they would call as well.
-WAIT_MS: typing.Final = 600
+WATCH_TIMEOUT_MS: typing.Final = 600
 # A watch is asked again only after this, so that changes which come close
 # together cost one call.
-GAP_MS: typing.Final = 400
+WATCH_GAP_MS: typing.Final = 400
 # From this age a VM calls the store itself. It lies above the usual age and
 # what the talk between VMs adds, 0.5 s, and leaves 0.7 s of the three seconds.
 STALE_MS: typing.Final = 2300
 # How much later the next in rank takes over.
-STAGGER_MS: typing.Final = 60
-STAGGER_MOST: typing.Final = 8
+TAKEOVER_STAGGER_MS: typing.Final = 60
+MAX_STAGGER_STEPS: typing.Final = 8
 # Who took over goes on for so long; the watcher may be back meanwhile.
-ACTING_MS: typing.Final = 8000
+TAKEOVER_DURATION_MS: typing.Final = 8000
 # A VM that starts knows the others of its zone after this (62 VMs, in virtual
 # time); before, many would take themselves for the first.
 SETTLE_MS: typing.Final = 2000
-FIRST_RETRY_MS: typing.Final = 100
-LAST_RETRY_MS: typing.Final = 500
-OTHERS_RETRY_MS: typing.Final = 2500
+MIN_RETRY_MS: typing.Final = 100
+MAX_RETRY_MS: typing.Final = 500
+STANDBY_RETRY_MS: typing.Final = 2500
 
 
 class WatchPolicy:
@@ -64,12 +64,12 @@
         settled = now_ms >= self._settled_ms
         if settled and (rank == 0 or now_ms < self._acting_until_ms):
             return True
-        return age_ms >= STALE_MS + STAGGER_MS * min(rank, STAGGER_MOST)
+        return age_ms >= STALE_MS + TAKEOVER_STAGGER_MS * min(rank, MAX_STAGGER_STEPS)
 
-    def answered(self, now_ms: int, rank: int) -> None:
+    def record_success(self, now_ms: int, rank: int) -> None:
         """Note that the store answered."""
         self.failures = 0
-        self._next_ms = now_ms + GAP_MS
+        self._next_ms = now_ms + WATCH_GAP_MS
         if self._settled_ms is None:
             self._settled_ms = now_ms + SETTLE_MS
         if not self._has_answer:
@@ -77,9 +77,9 @@
             self._has_answer = True
             return
         if rank > 0 and now_ms >= self._acting_until_ms:
-            self._acting_until_ms = now_ms + ACTING_MS
+            self._acting_until_ms = now_ms + TAKEOVER_DURATION_MS
 
-    def failed(self, now_ms: int, rank: int, fraction: float) -> int:
+    def record_failure(self, now_ms: int, rank: int, fraction: float) -> int:
         """Note that a call failed.
 
         Args:
@@ -92,9 +92,9 @@
         """
         self.failures += 1
         self._acting_until_ms = 0
-        full_ms = min(LAST_RETRY_MS, FIRST_RETRY_MS * 2 ** min(self.failures - 1, 8))
+        full_ms = min(MAX_RETRY_MS, MIN_RETRY_MS * 2 ** min(self.failures - 1, 8))
         if rank > 0 and self.failures > 1:
-            full_ms = OTHERS_RETRY_MS
+            full_ms = STANDBY_RETRY_MS
         wait_ms = int(full_ms * (0.5 + 0.5 * fraction))
         self._next_ms = now_ms + wait_ms
         return wait_ms
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -158,7 +158,7 @@
     for _ in range(12):
         for vm in watchers:
             vm.knowledge.confirm(1, talk.now_ms)
-        talk.run(watch_policy.WAIT_MS + watch_policy.GAP_MS)
+        talk.run(watch_policy.WATCH_TIMEOUT_MS + watch_policy.WATCH_GAP_MS)
         oldest_ms.append(talk.oldest_ms())
     assert max(oldest_ms[2:]) < watch_policy.STALE_MS
 
@@ -199,7 +199,7 @@
     talk = Talk(2, 1)
     first, second = talk.vms.values()
     talk.write(first.host, _row("a", 1))
-    first.knowledge.confirm(1, talk.now_ms + watch_policy.WAIT_MS)
+    first.knowledge.confirm(1, talk.now_ms + watch_policy.WATCH_TIMEOUT_MS)
     requests, _ = first.exchange.due_requests(talk.now_ms)
     assert second.exchange.receive(talk.now_ms, first.host, requests[0].payload).sends
 
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -133,9 +133,9 @@
     task.step()
     task.step()
     assert task.knowledge.age_ms(task.now_ms) == 10_000
-    assert not task.store_watch.answers
+    assert not task.store_watch.store_responds
     task.step()
-    assert task.store_watch.answers
+    assert task.store_watch.store_responds
     assert task.knowledge.age_ms(task.now_ms) <= 0
 
 
--- a/tests/test_watch_policy.py
+++ b/tests/test_watch_policy.py
@@ -14,7 +14,7 @@
 
 
 def test_first_in_rank_watches(turn: watch_policy.WatchPolicy) -> None:
-    turn.answered(0, rank=0)
+    turn.record_success(0, rank=0)
     assert turn.due(watch_policy.SETTLE_MS, 10, rank=0)
     assert not turn.due(watch_policy.SETTLE_MS, 10, rank=1)
 
@@ -28,7 +28,7 @@
     watch until it knew better, the store would get hundreds of calls at once.
     """
     assert turn.due(0, watch_policy.STALE_MS, rank=0)
-    turn.answered(100, rank=0)
+    turn.record_success(100, rank=0)
     assert not turn.due(1000, 10, rank=0)
     assert turn.due(1000, watch_policy.STALE_MS, rank=0)
 
@@ -51,10 +51,10 @@
 def test_changes_that_come_close_together_cost_one_call(
     turn: watch_policy.WatchPolicy,
 ) -> None:
-    turn.answered(0, rank=0)
-    turn.answered(5000, rank=0)
-    assert not turn.due(5000 + watch_policy.GAP_MS - 1, 10, rank=0)
-    assert turn.due(5000 + watch_policy.GAP_MS, 10, rank=0)
+    turn.record_success(0, rank=0)
+    turn.record_success(5000, rank=0)
+    assert not turn.due(5000 + watch_policy.WATCH_GAP_MS - 1, 10, rank=0)
+    assert turn.due(5000 + watch_policy.WATCH_GAP_MS, 10, rank=0)
 
 
 def test_others_take_over_one_after_the_other(turn: watch_policy.WatchPolicy) -> None:
@@ -64,19 +64,22 @@
     bring a call from every VM.
     """
     assert not turn.due(0, watch_policy.STALE_MS, rank=2)
-    assert turn.due(0, watch_policy.STALE_MS + 2 * watch_policy.STAGGER_MS, rank=2)
+    assert turn.due(
+        0, watch_policy.STALE_MS + 2 * watch_policy.TAKEOVER_STAGGER_MS, rank=2
+    )
     last_ms = (
-        watch_policy.STALE_MS + watch_policy.STAGGER_MS * watch_policy.STAGGER_MOST
+        watch_policy.STALE_MS
+        + watch_policy.TAKEOVER_STAGGER_MS * watch_policy.MAX_STAGGER_STEPS
     )
     assert turn.due(0, last_ms, rank=200)
     assert last_ms < IN_FORCE_MS
 
 
 def test_who_took_over_goes_on_for_a_while(turn: watch_policy.WatchPolicy) -> None:
-    turn.answered(0, rank=1)
-    turn.answered(5000, rank=1)
-    assert turn.due(5000 + watch_policy.GAP_MS, 10, rank=1)
-    assert not turn.due(5000 + watch_policy.ACTING_MS, 10, rank=1)
+    turn.record_success(0, rank=1)
+    turn.record_success(5000, rank=1)
+    assert turn.due(5000 + watch_policy.WATCH_GAP_MS, 10, rank=1)
+    assert not turn.due(5000 + watch_policy.TAKEOVER_DURATION_MS, 10, rank=1)
 
 
 def test_returning_store_is_not_pushed_over(turn: watch_policy.WatchPolicy) -> None:
@@ -84,9 +87,12 @@
 
     If each tried as often as it could, its first answers would be refusals.
     """
-    first = [watch_policy.WatchPolicy().failed(0, 0, 1.0)]
-    others = [turn.failed(0, 3, 1.0) for _ in range(4)]
-    assert first[0] <= watch_policy.FIRST_RETRY_MS
-    assert others[-1] == watch_policy.OTHERS_RETRY_MS
+    first = [watch_policy.WatchPolicy().record_failure(0, 0, 1.0)]
+    others = [turn.record_failure(0, 3, 1.0) for _ in range(4)]
+    assert first[0] <= watch_policy.MIN_RETRY_MS
+    assert others[-1] == watch_policy.STANDBY_RETRY_MS
     leader = watch_policy.WatchPolicy()
-    assert max(leader.failed(0, 0, 1.0) for _ in range(9)) == watch_policy.LAST_RETRY_MS
+    assert (
+        max(leader.record_failure(0, 0, 1.0) for _ in range(9))
+        == watch_policy.MAX_RETRY_MS
+    )
