--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -180,7 +180,7 @@
             zone=target.zone if target is not None else "-",
             on_target=self._flows_on(target),
             revision=self._knowledge.revision,
-            age_ms=knowledge.shown_ms(age_ms),
+            age_ms=knowledge.reported_age_ms(age_ms),
             **self._withheld_fields(decision),
             **self._overload_fields(target),
         )
@@ -248,7 +248,7 @@
         """
         if not merge.rows:
             return
-        gap_ms = knowledge.shown_ms(merge.gap_ms)
+        gap_ms = knowledge.reported_age_ms(merge.previous_age_ms)
         for note in self._catalog.update(now_ms, merge):
             self._log.write(note.event, **note.fields, origin=origin, gap_ms=gap_ms)
 
--- a/eelgrasswick/cookie/catalog.py
+++ b/eelgrasswick/cookie/catalog.py
@@ -155,7 +155,7 @@
         Returns:
             What this VM believes from now on, one note for each change.
         """
-        outage = merge.gap_ms > OUTAGE_MS or self._lapsed_together(merge)
+        outage = merge.previous_age_ms > OUTAGE_MS or self._lapsed_together(merge)
         if outage:
             self._unsettled_ms = LAPSE_MS
         # Entries that come back after an outage are mostly those of old targets.
@@ -306,7 +306,7 @@
         return self._owners.told(target, row.revision)
 
     def _lapsed_together(self, merge: knowledge.Merge) -> bool:
-        if merge.gap_ms <= SHORT_OUTAGE_MS:
+        if merge.previous_age_ms <= SHORT_OUTAGE_MS:
             return False
         rows = [row for row in merge.rows if row.value is None]
         gone = [self._by_name[row.key] for row in rows if row.key in self._by_name]
--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -166,7 +166,7 @@
         vm = self._settings.vm
         reactor = self._reactor
         answers = transfer.ServerFactory(
-            offer.Offers(self._knowledge.since, self._gossip.standing)
+            offer.Offers(self._knowledge.changes_since, self._gossip.standing)
         )
         probe = web.WebFactory({self._ready_path: self._ready_page})
         pages = web.WebFactory({METRICS_PATH: self._metrics_page})
@@ -224,7 +224,7 @@
         ready = self._ready
         if ready != self._was_ready:
             self._was_ready = ready
-            age_ms = knowledge.shown_ms(self._knowledge.age_ms(now_ms))
+            age_ms = knowledge.reported_age_ms(self._knowledge.age_ms(now_ms))
             self._log.write("ready" if ready else "not_ready", age_ms=age_ms)
         self._log.flush()
         if self._stop_ms is not None:
@@ -255,7 +255,7 @@
             peer_reports=len(self._observations.reports),
             targets=len(self._catalog.targets),
             revision=self._knowledge.revision,
-            knowledge_age_ms=knowledge.shown_ms(self._knowledge.age_ms(now_ms)),
+            knowledge_age_ms=knowledge.reported_age_ms(self._knowledge.age_ms(now_ms)),
             store_calls=self._store_watch.calls,
         )
         return web.Page(200, self._stats.text())
--- a/eelgrasswick/cookie/exchange.py
+++ b/eelgrasswick/cookie/exchange.py
@@ -243,7 +243,7 @@
         room = MAX_BYTES - _FRAME_BYTES - _ENTRY_BYTES * len(report)
         # A listing of everything never fits, and finding that out would cost
         # the encoding of the whole configuration.
-        changes = self._knowledge.since(base)
+        changes = self._knowledge.changes_since(base)
         if changes.base == 0 or len(changes.rows) > MAX_ROWS:
             return None
         size = sum(len(row.key) + len(row.value or b"") + 8 for row in changes.rows)
@@ -263,7 +263,7 @@
             self._zone,
             self.reads_store,
             self._knowledge.revision,
-            knowledge.shown_ms(self._knowledge.age_ms(now_ms)),
+            knowledge.reported_age_ms(self._knowledge.age_ms(now_ms)),
             list(changes) if changes is not None else None,
             [list(member) for member in self._peers.sample()],
             [list(entry) for entry in entries],
--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -70,7 +70,7 @@
             target=target.name,
             accepted=int(accepted),
             entry_missing=int(missing),
-            path_ms=knowledge.shown_ms(ended_ms - path_ms),
+            path_ms=knowledge.reported_age_ms(ended_ms - path_ms),
             flows_reset=self._reset_flows(target) if dead else 0,
         )
         if dead:
--- a/eelgrasswick/cookie/gossip.py
+++ b/eelgrasswick/cookie/gossip.py
@@ -91,7 +91,7 @@
         """Return how this VM stands, for VMs that lack rows."""
         age_ms = self._knowledge.age_ms(clock.now_ms())
         members = self.peers.members()
-        return offer.Standing(knowledge.shown_ms(age_ms), tuple(members))
+        return offer.Standing(knowledge.reported_age_ms(age_ms), tuple(members))
 
     def ask(self, now_ms: int, report: reports.Report, reads_store: bool) -> None:
         """Ask the VMs that are next.
--- a/eelgrasswick/cookie/knowledge.py
+++ b/eelgrasswick/cookie/knowledge.py
@@ -14,15 +14,15 @@
 
 # Deletions remembered for VMs that are behind; a fleet of 19,000 targets with
 # 1,700 restarts a day needs far fewer in the seconds for which a VM is behind.
-MAX_DELETED: typing.Final = 512
+MAX_TOMBSTONES: typing.Final = 512
 NEVER_MS: typing.Final = -1_000_000_000
 # Ages above this are shown as this; a VM that knows nothing has none.
-AGE_SHOWN_MS: typing.Final = 1_000_000
+MAX_REPORTED_AGE_MS: typing.Final = 1_000_000
 
 
-def shown_ms(age_ms: int) -> int:
+def reported_age_ms(age_ms: int) -> int:
     """Return an age as logs, metrics and other VMs get it."""
-    return min(max(0, age_ms), AGE_SHOWN_MS)
+    return min(max(0, age_ms), MAX_REPORTED_AGE_MS)
 
 
 class Merge(typing.NamedTuple):
@@ -34,7 +34,7 @@
     """
 
     rows: tuple[source.Row, ...]
-    gap_ms: int
+    previous_age_ms: int
 
 
 class Knowledge:
@@ -84,7 +84,7 @@
         self.revision = changes.revision
         return Merge(tuple(new), gap_ms)
 
-    def since(self, revision: int) -> source.Changes:
+    def changes_since(self, revision: int) -> source.Changes:
         """Return what a VM lacks that knows all up to a revision."""
         if revision < self._floor or revision == 0:
             return source.Changes(tuple(self._rows.values()), self.revision, 0)
@@ -103,7 +103,7 @@
         self._rows.pop(row.key, None)
         self._deleted[row.key] = row
         self._deleted.move_to_end(row.key)
-        if len(self._deleted) > MAX_DELETED:
+        if len(self._deleted) > MAX_TOMBSTONES:
             _, oldest = self._deleted.popitem(last=False)
             self._floor = max(self._floor, oldest.revision)
         return True
--- a/eelgrasswick/cookie/store_watch.py
+++ b/eelgrasswick/cookie/store_watch.py
@@ -133,6 +133,6 @@
             detail=error.detail,
             failures=self._policy.failures,
             revision=self._knowledge.revision,
-            age_ms=knowledge.shown_ms(self._knowledge.age_ms(now_ms)),
+            age_ms=knowledge.reported_age_ms(self._knowledge.age_ms(now_ms)),
             **fields,
         )
--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -125,7 +125,7 @@
             took_ms=now_ms - answer.asked_ms,
             members=len(self.members),
             revision=known.revision,
-            age_ms=knowledge.shown_ms(known.age_ms(now_ms)),
+            age_ms=knowledge.reported_age_ms(known.age_ms(now_ms)),
         )
         # What an outage of the store has made old is better than nothing, but the
         # store may be back by now.
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -187,9 +187,9 @@
     rows = (cookie_parts.config_row(1), cookie_parts.target_row("i-0a", 2))
     known.merge(0, cookie_parts.listing(*rows))
     known.merge(10, source.Changes((_order(3),), 3, 2))
-    assert known.since(2).rows == (_order(3),)
+    assert known.changes_since(2).rows == (_order(3),)
     known.merge(20, source.Changes((_order(4, None),), 4, 3))
-    assert known.since(3).rows == (_order(4, None),)
+    assert known.changes_since(3).rows == (_order(4, None),)
 
 
 def test_target_that_starts_in_an_evacuated_zone_is_left_alone(
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -88,7 +88,7 @@
             self.deliver(vm, heard.sends)
 
     def _fetch(self, vm: Vm, host: str) -> None:
-        changes = self.vms[host].knowledge.since(vm.knowledge.revision)
+        changes = self.vms[host].knowledge.changes_since(vm.knowledge.revision)
         again = exchange.decode_changes(exchange.encode_changes(changes))
         vm.knowledge.merge(self.now_ms, again)
 
@@ -186,7 +186,7 @@
     talk = Talk(2, 1)
     first, second = talk.vms.values()
     talk.write(first.host, _row("a", 1))
-    second.knowledge.merge(0, first.knowledge.since(0))
+    second.knowledge.merge(0, first.knowledge.changes_since(0))
     requests, _ = second.exchange.due_requests(0)
     answers = first.exchange.receive(0, second.host, requests[0].payload).sends
     second.exchange.due_requests(5000)
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -50,13 +50,13 @@
     known.merge(0, source.Changes((_row("a", 1), _row("b", 2)), 2, 0))
     merge = known.merge(0, source.Changes((_row("b", 2),), 6, 0))
     assert merge.rows == (source.Row("a", None, 1),)
-    assert known.since(2).base == 0
+    assert known.changes_since(2).base == 0
 
 
 def test_deletions_are_passed_on(known: knowledge.Knowledge) -> None:
     known.merge(0, source.Changes((_row("a", 1),), 1, 0))
     known.merge(0, source.Changes((_row("a", 4, None),), 4, 1))
-    assert known.since(1) == source.Changes((_row("a", 4, None),), 4, 1)
+    assert known.changes_since(1) == source.Changes((_row("a", 4, None),), 4, 1)
 
 
 def test_listing_goes_to_who_is_behind_forgotten_deletions(
@@ -65,11 +65,11 @@
     known.merge(0, source.Changes((_row("a", 1),), 1, 0))
     many = tuple(
         _row(f"k{number}", number, None)
-        for number in range(2, knowledge.MAX_DELETED + 10)
+        for number in range(2, knowledge.MAX_TOMBSTONES + 10)
     )
     known.merge(0, source.Changes(many, many[-1].revision, 1))
-    assert known.since(2).base == 0
-    assert known.since(many[-1].revision - 1).base > 0
+    assert known.changes_since(2).base == 0
+    assert known.changes_since(many[-1].revision - 1).base > 0
 
 
 def test_age_counts_from_a_confirmation(known: knowledge.Knowledge) -> None:
@@ -104,8 +104,8 @@
         row = _row(key, revision, None if deleted else str(revision).encode())
         watcher.merge(0, source.Changes((row,), revision, revision - 1))
         if hearer < 2:
-            others[hearer].merge(0, watcher.since(others[hearer].revision))
+            others[hearer].merge(0, watcher.changes_since(others[hearer].revision))
     for other in others:
-        other.merge(0, watcher.since(other.revision))
+        other.merge(0, watcher.changes_since(other.revision))
         assert sorted(other.rows) == sorted(watcher.rows)
         assert other.revision == watcher.revision
--- a/tests/test_offer.py
+++ b/tests/test_offer.py
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def offers(known: knowledge.Knowledge) -> offer.Offers:
-    return offer.Offers(known.since, lambda: STANDING)
+    return offer.Offers(known.changes_since, lambda: STANDING)
 
 
 def test_offer_is_read_as_it_was_made(offers: offer.Offers) -> None:
