--- a/eelgrasswick/cookie/catalog.py
+++ b/eelgrasswick/cookie/catalog.py
@@ -16,27 +16,27 @@
 # How long an entry that is gone after an outage of the store may still be
 # used. Entries lapse while targets can't renew them and are back within two
 # seconds; dropped at once, a whole service would be refused meanwhile.
-LAPSE_MS: typing.Final = 2000
+LAPSED_ENTRY_GRACE_MS: typing.Final = 2000
 # Age of knowledge from which a deletion may be due to an outage. Without one a
 # VM's knowledge is at most two seconds old.
-OUTAGE_MS: typing.Final = 2500
+OUTAGE_AGE_MS: typing.Final = 2500
 # From this age on, entries that go together are due to an outage too: half of a
 # service's or more. Entries last for three heartbeats, and two that are missed in a
 # row make a lapse; targets that crash are seldom noticed in one answer of the store.
-SHORT_OUTAGE_MS: typing.Final = 1200
-TOGETHER: typing.Final = 0.5
+SHORT_OUTAGE_AGE_MS: typing.Final = 1200
+MASS_LAPSE_SHARE: typing.Final = 0.5
 # Confirmations that are further apart than this have an outage between them. A
 # watch is answered each second, and its answer takes up to 0.8 s to reach all VMs.
-PRESENT_MS: typing.Final = 1800
+MAX_CONFIRMATION_GAP_MS: typing.Final = 1800
 # A flow may live for 60 s. So long a target that is gone is remembered, as its
 # entry may lapse while it goes on serving.
-REMEMBER_MS: typing.Final = 60_000
+FORMER_TARGET_RETENTION_MS: typing.Final = 60_000
 # Dropped routes that are remembered; the design size has 8,100 addresses and
 # 13,000 changes a day, and flows of a dropped route live for a minute.
-MAX_DROPPED: typing.Final = 1000
+MAX_DROPPED_ROUTES: typing.Final = 1000
 
 
-class Note(typing.NamedTuple):
+class LogEvent(typing.NamedTuple):
     """Something a VM now believes, for the log."""
 
     event: str
@@ -96,14 +96,14 @@
         return self._by_name.values()
 
     @property
-    def remembered(self) -> typing.Collection[int]:
+    def forwardable_cookies(self) -> typing.Collection[int]:
         """Cookies of all targets that packets are still sent to."""
         return self._by_cookie.keys()
 
     def missing(self, target: model.Target, now_ms: int) -> bool:
         """Tell whether an entry has been gone for longer than an outage explains."""
         at_ms = self._gone_ms.get(target.cookie)
-        return at_ms is not None and now_ms - at_ms >= LAPSE_MS
+        return at_ms is not None and now_ms - at_ms >= LAPSED_ENTRY_GRACE_MS
 
     def route(self, segment: model.Segment) -> model.Route | None:
         """Return the route a segment is for, if there is one."""
@@ -112,7 +112,7 @@
         flow = segment.flow
         return self.config.routes.get((flow.service_ip, flow.service_port))
 
-    def dropped(self, segment: model.Segment) -> bool:
+    def route_dropped(self, segment: model.Segment) -> bool:
         """Tell whether the route of a segment was dropped while this VM looked."""
         return (segment.flow.service_ip, segment.flow.service_port) in self._dropped
 
@@ -149,15 +149,15 @@
         """Return what operators say of a service, if it is in force."""
         return self.config.services.get(name) if self.config is not None else None
 
-    def update(self, now_ms: int, merge: knowledge.Merge) -> list[Note]:
+    def update(self, now_ms: int, merge: knowledge.Merge) -> list[LogEvent]:
         """Follow rows that changed.
 
         Returns:
             What this VM believes from now on, one note for each change.
         """
-        outage = merge.previous_age_ms > OUTAGE_MS or self._lapsed_together(merge)
+        outage = merge.previous_age_ms > OUTAGE_AGE_MS or self._lapsed_together(merge)
         if outage:
-            self._unsettled_ms = LAPSE_MS
+            self._unsettled_ms = LAPSED_ENTRY_GRACE_MS
         # Entries that come back after an outage are mostly those of old targets.
         watched = bool(self._by_name) and self.settled
         notes = []
@@ -188,7 +188,7 @@
         """
         elapsed_ms = confirmed_ms - self._confirmed_ms
         self._confirmed_ms = confirmed_ms
-        if elapsed_ms > PRESENT_MS:
+        if elapsed_ms > MAX_CONFIRMATION_GAP_MS:
             elapsed_ms = 0
         self._unsettled_ms = max(0, self._unsettled_ms - elapsed_ms)
         lapsed = []
@@ -200,7 +200,7 @@
             del self._lapsed[name]
         while self._gone_ms:
             cookie, at_ms = next(iter(self._gone_ms.items()))
-            if now_ms - at_ms < REMEMBER_MS:
+            if now_ms - at_ms < FORMER_TARGET_RETENTION_MS:
                 break
             del self._gone_ms[cookie]
             target = self._by_cookie.pop(cookie, None)
@@ -211,9 +211,9 @@
         if lapsed:
             self._rebuild()
 
-    def _take_config(self, row: source.Row) -> Note:
+    def _take_config(self, row: source.Row) -> LogEvent:
         if row.value is None:
-            return Note("config_deleted", {"revision": row.revision})
+            return LogEvent("config_deleted", {"revision": row.revision})
         try:
             config = self._reader.config(row)
         except errors.EntryInvalidError as error:
@@ -223,7 +223,7 @@
         self.config = config
         routes = config.routes.values()
         self._services = frozenset(s.service for item in routes for s in item.shares)
-        return Note(
+        return LogEvent(
             "config_in_force",
             {
                 "version": config.version,
@@ -237,7 +237,7 @@
         if target is not None:
             self.ages.seen(now_ms, target, watched)
 
-    def _take_evacuation(self, now_ms: int, row: source.Row) -> Note:
+    def _take_evacuation(self, now_ms: int, row: source.Row) -> LogEvent:
         if row.value is None:
             over = self.evacuations.end(row.key)
             zone = over.zone if over is not None else "-"
@@ -245,7 +245,7 @@
             for target in self.targets:
                 if target.zone == zone:
                     self.ages.started(now_ms, target.cookie)
-            return Note("evacuation_over", {"zone": zone, "revision": row.revision})
+            return LogEvent("evacuation_over", {"zone": zone, "revision": row.revision})
         try:
             item = self._reader.evacuation(row)
         except errors.EntryInvalidError as error:
@@ -258,7 +258,7 @@
         }
         if item.malformed:
             fields["malformed"] = item.malformed
-        return Note("evacuation_in_force", fields)
+        return LogEvent("evacuation_in_force", fields)
 
     def _note_dropped(self, config: model.Config) -> None:
         if self.config is None:
@@ -267,10 +267,10 @@
             self._dropped[key] = None
         for key in [key for key in self._dropped if key in config.routes]:
             del self._dropped[key]
-        while len(self._dropped) > MAX_DROPPED:
+        while len(self._dropped) > MAX_DROPPED_ROUTES:
             del self._dropped[next(iter(self._dropped))]
 
-    def _take_target(self, now_ms: int, row: source.Row, outage: bool) -> Note:
+    def _take_target(self, now_ms: int, row: source.Row, outage: bool) -> LogEvent:
         if row.value is None:
             return self._remove(now_ms, row, outage)
         try:
@@ -285,7 +285,7 @@
         self._by_name[row.key] = target
         self._seen_ms[target.cookie] = now_ms
         self._gone_ms.pop(target.cookie, None)
-        return Note(
+        return LogEvent(
             "target_known",
             {
                 "target": target.name,
@@ -306,28 +306,28 @@
         return self._owners.told(target, row.revision)
 
     def _lapsed_together(self, merge: knowledge.Merge) -> bool:
-        if merge.previous_age_ms <= SHORT_OUTAGE_MS:
+        if merge.previous_age_ms <= SHORT_OUTAGE_AGE_MS:
             return False
         rows = [row for row in merge.rows if row.value is None]
         gone = [self._by_name[row.key] for row in rows if row.key in self._by_name]
         counts = collections.Counter(item.service for item in gone if not item.draining)
         return any(
-            count >= 2 and count >= TOGETHER * self._serving(service)
+            count >= 2 and count >= MASS_LAPSE_SHARE * self._serving(service)
             for service, count in counts.items()
         )
 
     def _serving(self, service: str) -> int:
         return len(self.accepting(service)) + len(self.withheld(service))
 
-    def _remove(self, now_ms: int, row: source.Row, outage: bool) -> Note:
+    def _remove(self, now_ms: int, row: source.Row, outage: bool) -> LogEvent:
         target = self._by_name.pop(row.key, None)
         fields: dict[str, str | int] = {"key": row.key, "revision": row.revision}
         if target is not None:
             self._gone_ms[target.cookie] = now_ms
             if outage and not target.draining:
-                self._lapsed[row.key] = _Lapsed(target, LAPSE_MS)
-                fields["usable_ms"] = LAPSE_MS
-        return Note("target_gone", fields)
+                self._lapsed[row.key] = _Lapsed(target, LAPSED_ENTRY_GRACE_MS)
+                fields["usable_ms"] = LAPSED_ENTRY_GRACE_MS
+        return LogEvent("target_gone", fields)
 
     def _rebuild(self) -> None:
         # Two targets with one cookie would get each other's packets. The elder
@@ -353,8 +353,8 @@
     """Do nothing about a target that is over."""
 
 
-def _refused(row: source.Row, error: errors.EelgrasswickError) -> Note:
-    return Note(
+def _refused(row: source.Row, error: errors.EelgrasswickError) -> LogEvent:
+    return LogEvent(
         "entry_refused",
         {
             "key": row.key,
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -292,7 +292,7 @@
         self.speeds.keep(cookies)
         self._silence.keep(cookies)
         self._stalled.keep(cookies)
-        self.liveness.keep(self._catalog.remembered)
+        self.liveness.keep(self._catalog.forwardable_cookies)
         self.ejections.keep(now_ms, cookies)
         self.cold.limits.keep(cookies)
         self._keep_refusals(now_ms)
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -111,7 +111,7 @@
         # caller that hears nothing sends its opening packet again. A flow that
         # is open already shows that some VM knows the route, so it is reset
         # only when this VM has seen the route go.
-        known = segment.opening or self._catalog.dropped(segment)
+        known = segment.opening or self._catalog.route_dropped(segment)
         if segment.reset or age_ms > SURE_MS or not known:
             return Decision(Outcome.NO_ROUTE, None, None, None)
         datagram = self._codec.reset(segment.flow, segment.acknowledged)
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -22,7 +22,7 @@
 
 def _update(
     known: catalog.Catalog, now_ms: int, row: source.Row, gap_ms: int = 0
-) -> list[catalog.Note]:
+) -> list[catalog.LogEvent]:
     return known.update(now_ms, knowledge.Merge((row,), gap_ms))
 
 
@@ -46,7 +46,7 @@
     _update(known, 10, cookie_parts.gone_row("i-0a", 4))
     assert _names(known) == {"i-0b"}
     assert known.by_cookie(cookie) is not None
-    known.tick(10 + catalog.REMEMBER_MS, confirmed_ms=0)
+    known.tick(10 + catalog.FORMER_TARGET_RETENTION_MS, confirmed_ms=0)
     assert known.by_cookie(cookie) is None
 
 
@@ -171,7 +171,7 @@
     _update(known, 10, row)
     _update(known, 10, cookie_parts.gone_row("i-0a", 10))
     assert known.ended(former.cookie)
-    known.tick(10 + catalog.REMEMBER_MS, confirmed_ms=0)
+    known.tick(10 + catalog.FORMER_TARGET_RETENTION_MS, confirmed_ms=0)
     assert not known.ended(former.cookie)
     assert known.by_cookie(former.cookie) is None
 
@@ -199,7 +199,7 @@
     service would be refused until the servers have written again.
     """
     rows = (cookie_parts.gone_row("i-0a", 4), cookie_parts.gone_row("i-0b", 5))
-    known.update(3000, knowledge.Merge(rows, catalog.SHORT_OUTAGE_MS + 1))
+    known.update(3000, knowledge.Merge(rows, catalog.SHORT_OUTAGE_AGE_MS + 1))
     assert _names(known) == {"i-0a", "i-0b"}
     assert not known.settled
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -22,7 +22,7 @@
 
 def _update(
     known: catalog.Catalog, *rows: source.Row, gap_ms: int = 0
-) -> list[catalog.Note]:
+) -> list[catalog.LogEvent]:
     return known.update(10, knowledge.Merge(rows, gap_ms))
 
 
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -178,7 +178,7 @@
     decision = steering_parts.steer(steers, 100, raw)
     assert decision.outcome is steering.Outcome.NO_TARGET_YET
     assert decision.datagram is None
-    for now_ms in range(0, catalog.LAPSE_MS + 1, 500):
+    for now_ms in range(0, catalog.LAPSED_ENTRY_GRACE_MS + 1, 500):
         known.tick(now_ms, confirmed_ms=now_ms)
     assert steering_parts.steer(steers, 2100, raw).outcome is steering.Outcome.NO_TARGET
 
