--- a/eelgrasswick/cookie/bootstrap.py
+++ b/eelgrasswick/cookie/bootstrap.py
@@ -21,16 +21,16 @@
 
 # What other VMs may take to accept a connection. After a loss of power of all it is
 # lost, as VMs that are still dark do not even refuse.
-CONNECT_S: typing.Final = 0.005
-ANSWER_S: typing.Final = 0.1
+CONNECT_TIMEOUT_S: typing.Final = 0.005
+RESPONSE_TIMEOUT_S: typing.Final = 0.1
 # VMs that are asked for rows, one after the other.
-MAX_ASKED: typing.Final = 2
+MAX_REQUESTS: typing.Final = 2
 _LENGTH: typing.Final = struct.Struct(">I")
 _ALL_ROWS: typing.Final = b"0"
 _CHUNK_BYTES: typing.Final = 65_536
 
 
-class Answer(typing.NamedTuple):
+class Response(typing.NamedTuple):
     """Another VM's answer.
 
     Attributes:
@@ -40,13 +40,13 @@
     """
 
     host: str
-    asked_ms: int
+    requested_ms: int
     offer: "offer.Offer"
 
 
-def ask(
+def fetch_rows(
     seeds: typing.Sequence[model.Address], log: event_log.EventLog
-) -> Answer | None:
+) -> Response | None:
     """Ask some VMs for all rows, until one has some.
 
     Args:
@@ -58,7 +58,7 @@
     """
     with contextlib.ExitStack() as held:
         connected = _connect(_in_turn(seeds), held, log)
-        for address, connection in connected[:MAX_ASKED]:
+        for address, connection in connected[:MAX_REQUESTS]:
             asked_ms = clock.now_ms()
             try:
                 taken = _ask(connection)
@@ -66,7 +66,7 @@
                 _note_failed(log, address, fault)
                 continue
             if taken.changes.rows:
-                return Answer(address.host, asked_ms, taken)
+                return Response(address.host, asked_ms, taken)
     return None
 
 
@@ -100,7 +100,7 @@
         poll.register(made, select.POLLOUT)
         waiting[made.fileno()] = (address, made)
     accepted: dict[model.Address, socket.socket] = {}
-    end_s = time.monotonic() + CONNECT_S
+    end_s = time.monotonic() + CONNECT_TIMEOUT_S
     while waiting and (left_s := end_s - time.monotonic()) > 0:
         for descriptor, _ in poll.poll(1000 * left_s):
             poll.unregister(descriptor)
@@ -117,12 +117,12 @@
 
 def _ask(connection: socket.socket) -> "offer.Offer":
     connection.setblocking(True)
-    connection.settimeout(ANSWER_S)
+    connection.settimeout(RESPONSE_TIMEOUT_S)
     connection.sendall(_LENGTH.pack(len(_ALL_ROWS)) + _ALL_ROWS)
     # Imported only once another VM is there to answer; after a loss of all the store
     # is read sooner without.
     reader: typing.Any = importlib.import_module("eelgrasswick.cookie.offer")
-    end_s = time.monotonic() + ANSWER_S
+    end_s = time.monotonic() + RESPONSE_TIMEOUT_S
     strings = _receive(connection, end_s, reader.STRINGS, reader.MAX_BYTES)
     decoded: offer.Offer = reader.decode(*strings)
     return decoded
--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -166,7 +166,7 @@
         vm = self._settings.vm
         reactor = self._reactor
         answers = transfer.ServerFactory(
-            offer.Offers(self._knowledge.changes_since, self._gossip.standing)
+            offer.OfferEncoder(self._knowledge.changes_since, self._gossip.standing)
         )
         probe = web.WebFactory({self._ready_path: self._ready_page})
         pages = web.WebFactory({METRICS_PATH: self._metrics_page})
--- a/eelgrasswick/cookie/gossip.py
+++ b/eelgrasswick/cookie/gossip.py
@@ -87,11 +87,11 @@
         )
         self._fetching: set[str] = set()
 
-    def standing(self) -> offer.Standing:
+    def standing(self) -> offer.SenderState:
         """Return how this VM stands, for VMs that lack rows."""
         age_ms = self._knowledge.age_ms(clock.now_ms())
         members = self.peers.members()
-        return offer.Standing(knowledge.reported_age_ms(age_ms), tuple(members))
+        return offer.SenderState(knowledge.reported_age_ms(age_ms), tuple(members))
 
     def ask(self, now_ms: int, report: reports.Report, reads_store: bool) -> None:
         """Ask the VMs that are next.
@@ -169,8 +169,8 @@
         finally:
             self._fetching.discard(host)
         now_ms = clock.now_ms()
-        self.merged(now_ms, taken.learn(now_ms, asked_ms, self._knowledge), host)
-        self.peers.add_members(now_ms, taken.standing.members)
+        self.merged(now_ms, taken.merge_into(now_ms, asked_ms, self._knowledge), host)
+        self.peers.add_members(now_ms, taken.sender_state.members)
 
     def _send_peer(self, item: exchange.Outgoing) -> None:
         self.port.send(item.payload, model.Address(item.host, self._peer_port))
--- a/eelgrasswick/cookie/offer.py
+++ b/eelgrasswick/cookie/offer.py
@@ -14,13 +14,13 @@
 
 MAX_BYTES: typing.Final = 8_000_000
 # A VM's standing and its rows.
-STRINGS: typing.Final = 2
+STRING_COUNT: typing.Final = 2
 # Members that are taken from one message; more than any fleet has.
 MAX_MEMBERS: typing.Final = 10_000
 _LEVEL: typing.Final = 3
 
 
-class Standing(typing.NamedTuple):
+class SenderState(typing.NamedTuple):
     """What a VM tells of itself and the others.
 
     Attributes:
@@ -35,10 +35,10 @@
 class Offer(typing.NamedTuple):
     """A VM's standing and its rows."""
 
-    standing: Standing
+    sender_state: SenderState
     changes: source.Changes
 
-    def learn(
+    def merge_into(
         self, now_ms: int, asked_ms: int, known: knowledge.Knowledge
     ) -> knowledge.Merge:
         """Merge the rows into what a VM knows.
@@ -49,17 +49,17 @@
             known: What it knows.
         """
         merge = known.merge(now_ms, self.changes)
-        known.confirm(self.changes.revision, asked_ms - self.standing.age_ms)
+        known.confirm(self.changes.revision, asked_ms - self.sender_state.age_ms)
         return merge
 
 
-class Offers:
+class OfferEncoder:
     """The offers of a VM, encoded."""
 
     def __init__(
         self,
         since: typing.Callable[[int], source.Changes],
-        standing: typing.Callable[[], Standing],
+        standing: typing.Callable[[], SenderState],
     ) -> None:
         """Offer what a VM knows.
 
@@ -101,15 +101,15 @@
     return Offer(_decode_standing(standing), exchange.decode_changes(_inflate(rows)))
 
 
-def _encode_standing(item: Standing) -> bytes:
+def _encode_standing(item: SenderState) -> bytes:
     return cbor2.dumps([item.age_ms, [list(member) for member in item.members]])
 
 
-def _decode_standing(payload: bytes) -> Standing:
+def _decode_standing(payload: bytes) -> SenderState:
     try:
         age_ms, members = cbor2.loads(payload)
         known = tuple(map(exchange.decode_member, members[:MAX_MEMBERS]))
-        return Standing(exchange.decode_count(age_ms), known)
+        return SenderState(exchange.decode_count(age_ms), known)
     except exchange.DECODE_ERRORS as error:
         raise errors.MessageInvalidError(f"standing: {error}") from error
 
--- a/eelgrasswick/cookie/transfer.py
+++ b/eelgrasswick/cookie/transfer.py
@@ -16,7 +16,7 @@
 class _Server(basic.Int32StringReceiver, policies.TimeoutMixin):
     MAX_LENGTH = 64
 
-    def __init__(self, offers: offer.Offers) -> None:
+    def __init__(self, offers: offer.OfferEncoder) -> None:
         self._offers = offers
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -37,7 +37,7 @@
 
     noisy = False
 
-    def __init__(self, offers: offer.Offers) -> None:
+    def __init__(self, offers: offer.OfferEncoder) -> None:
         """Answer with offers."""
         self._offers = offers
 
@@ -59,7 +59,7 @@
 
     def stringReceived(self, string: bytes) -> None:  # noqa: N802
         self._strings.append(string)
-        if len(self._strings) < offer.STRINGS:
+        if len(self._strings) < offer.STRING_COUNT:
             return
         if not self.done.called:
             self.done.callback(self._strings)
--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -111,18 +111,18 @@
             self._give_up("no answer in time")
 
     def _learn_from_peer(self) -> bool:
-        answer = bootstrap.ask(self._seeds, self._carrier.parts.log)
+        answer = bootstrap.fetch_rows(self._seeds, self._carrier.parts.log)
         if answer is None:
             return False
         known = self._carrier.parts.knowledge
         now_ms = clock.now_ms()
-        merge = answer.offer.learn(now_ms, answer.asked_ms, known)
+        merge = answer.offer.merge_into(now_ms, answer.requested_ms, known)
         self._carrier.learned(now_ms, merge, answer.host)
-        self.members = answer.offer.standing.members
+        self.members = answer.offer.sender_state.members
         self._carrier.parts.log.write(
             "bootstrapped",
             peer=answer.host,
-            took_ms=now_ms - answer.asked_ms,
+            took_ms=now_ms - answer.requested_ms,
             members=len(self.members),
             revision=known.revision,
             age_ms=knowledge.reported_age_ms(known.age_ms(now_ms)),
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -227,7 +227,9 @@
 def _offer(age_ms: int, *rows: source.Row) -> tuple[bytes, bytes]:
     members = (peers.Member("10.0.0.8", "z1"),)
     changes = source.Changes(rows, 7, 0)
-    made = offer.Offers(lambda _: changes, lambda: offer.Standing(age_ms, members))
+    made = offer.OfferEncoder(
+        lambda _: changes, lambda: offer.SenderState(age_ms, members)
+    )
     return made.encode(0)
 
 
