--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -24,11 +24,11 @@
     web,
 )
 
-ASK_S: typing.Final = 0.25
-CHECK_S: typing.Final = 0.1
+REQUEST_INTERVAL_S: typing.Final = 0.25
+CHECK_INTERVAL_S: typing.Final = 0.1
 # How often a VM that starts looks whether it can carry packets; its first read
 # of the store takes about 5 ms.
-TAKE_S: typing.Final = 0.005
+READY_POLL_INTERVAL_S: typing.Final = 0.005
 # Above what callers and other VMs send; longer ones are cut and then refused.
 DATAGRAM_BYTES: typing.Final = 4096
 METRICS_PATH: typing.Final = "/metrics"
@@ -50,7 +50,7 @@
     carrier: carrying.Carrier
     source: source.ChangeSource
     ready_path: str
-    waiting: socket.socket | None = None
+    bound_socket: socket.socket | None = None
     bound_ms: int = 0
     members: tuple[peers.Member, ...] = ()
 
@@ -76,7 +76,7 @@
         self._reactor = reactor
         self._settings = loaded
         self._ready_path = parts.ready_path
-        self._waiting = parts.waiting
+        self._waiting = parts.bound_socket
         self._bound_ms = parts.bound_ms
         self._members = parts.members
         self._carrier = parts.carrier
@@ -91,9 +91,9 @@
             reactor, vm.peer, vm.zone, self._told(), rng, self._on_unsent
         )
         self._catalog.on_ended = self._forwarder.abandon
-        self._forwarder.on_dead = self._gossip.dead
+        self._forwarder.on_dead = self._gossip.report_dead_target
         self._store_watch = store_watch.StoreWatch(
-            parts.source, self._knowledge, self._gossip.merged, self._log, rng
+            parts.source, self._knowledge, self._gossip.publish_merge, self._log, rng
         )
         self._stop_ms: int | None = None
         self._was_ready = False
@@ -117,7 +117,7 @@
         now_ms = clock.now_ms()
         # Answers to what was forwarded before may lie in the socket.
         self._observations.paused(now_ms)
-        twisted_errors.take(self._log, self._stats)
+        twisted_errors.redirect_to_log(self._log, self._stats)
         self._log.write("started", zone=vm.zone, seeds=len(self._settings.fleet.seeds))
         self._gossip.peers.add_hosts(now_ms, self._settings.fleet.seeds)
         if self._members:
@@ -125,8 +125,8 @@
             self._store_watch.settle(now_ms)
         self._listen()
         self._take_packets()
-        self._repeat(self._check, CHECK_S)
-        self._repeat(self._ask, ASK_S)
+        self._repeat(self._check, CHECK_INTERVAL_S)
+        self._repeat(self._ask, REQUEST_INTERVAL_S)
 
     def _repeat(self, work: typing.Callable[[], None], every_s: float) -> None:
         loop = task.LoopingCall(work)
@@ -166,7 +166,7 @@
         vm = self._settings.vm
         reactor = self._reactor
         answers = transfer.ServerFactory(
-            offer.OfferEncoder(self._knowledge.changes_since, self._gossip.standing)
+            offer.OfferEncoder(self._knowledge.changes_since, self._gossip.sender_state)
         )
         probe = web.WebFactory({self._ready_path: self._ready_page})
         pages = web.WebFactory({METRICS_PATH: self._metrics_page})
@@ -201,7 +201,7 @@
             )
             self._waiting.close()
         else:
-            self._reactor.callLater(TAKE_S, self._take_packets)
+            self._reactor.callLater(READY_POLL_INTERVAL_S, self._take_packets)
             return
         self._listening.append(taken)
 
@@ -212,13 +212,13 @@
         self._observations.cold.limits.follow(now_ms, vms.hosts(), len(vms))
         self._carrier.tell_overloads()
         self._catalog.tick(now_ms, self._knowledge.confirmed_ms)
-        self._gossip.ask(
+        self._gossip.send_requests(
             now_ms, self._observations.report(), self._store_watch.store_responds
         )
 
     def _check(self) -> None:
         now_ms = self._carrier.wake()
-        self._gossip.witnesses(now_ms, self._forwarder.check_overdue(now_ms))
+        self._gossip.send_witnesses(now_ms, self._forwarder.check_overdue(now_ms))
         self._carrier.tell_ejections()
         self._store_watch.check(now_ms, self._gossip.peers.rank())
         ready = self._ready
@@ -232,7 +232,7 @@
 
     def _end_if_done(self, now_ms: int, asked_ms: int) -> None:
         grace_ms = int(self._settings.stop.grace_s * 1000)
-        if stopping.may_end(now_ms, asked_ms, self._carrier.packet_ms, grace_ms):
+        if stopping.may_exit(now_ms, asked_ms, self._carrier.packet_ms, grace_ms):
             self._log.write("stopped", after_ms=now_ms - asked_ms)
             self._log.flush()
             self._reactor.stop()
--- a/eelgrasswick/cookie/gossip.py
+++ b/eelgrasswick/cookie/gossip.py
@@ -36,12 +36,12 @@
     """
 
     knowledge: knowledge.Knowledge
-    learned: typing.Callable[[int, knowledge.Merge, str], None]
+    on_merge: typing.Callable[[int, knowledge.Merge, str], None]
     reports: reports.Reports
     log: event_log.EventLog
     stats: stats.Stats
-    check: typing.Callable[[int], None]
-    witness: typing.Callable[[int, ejection.Witness], bool]
+    check_target: typing.Callable[[int], None]
+    on_witness: typing.Callable[[int, ejection.Witness], bool]
 
 
 class Gossip:
@@ -76,24 +76,26 @@
         self._reactor = reactor
         self._peer_port = me.port
         self._knowledge = parts.knowledge
-        self._learned = parts.learned
+        self._learned = parts.on_merge
         self._log = parts.log
         self._stats = parts.stats
         self._reports = parts.reports
-        self._check = parts.check
-        self._witness = parts.witness
+        self._check = parts.check_target
+        self._witness = parts.on_witness
         self._exchange = exchange.Exchange(
             zone, parts.knowledge, self.peers, parts.reports, rng
         )
         self._fetching: set[str] = set()
 
-    def standing(self) -> offer.SenderState:
+    def sender_state(self) -> offer.SenderState:
         """Return how this VM stands, for VMs that lack rows."""
         age_ms = self._knowledge.age_ms(clock.now_ms())
         members = self.peers.members()
         return offer.SenderState(knowledge.reported_age_ms(age_ms), tuple(members))
 
-    def ask(self, now_ms: int, report: reports.Report, reads_store: bool) -> None:
+    def send_requests(
+        self, now_ms: int, report: reports.Report, reads_store: bool
+    ) -> None:
         """Ask the VMs that are next.
 
         Args:
@@ -111,18 +113,20 @@
             self._log.write("peer_lost", peer=host, alive=len(self.peers))
         self.peers.expire(now_ms)
 
-    def merged(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
+    def publish_merge(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
         """Follow rows that are new, and tell others of them."""
         self._learned(now_ms, merge, origin)
         for item in self._exchange.update_messages(now_ms, merge):
             self._send_peer(item)
 
-    def dead(self, cookie: int) -> None:
+    def report_dead_target(self, cookie: int) -> None:
         """Tell others that this VM has found a target dead."""
         for item in self._exchange.dead_target_notices(clock.now_ms(), cookie):
             self._send_peer(item)
 
-    def witnesses(self, now_ms: int, items: typing.Iterable[ejection.Witness]) -> None:
+    def send_witnesses(
+        self, now_ms: int, items: typing.Iterable[ejection.Witness]
+    ) -> None:
         """Tell some VMs of the zone of overdue requests, and pass on what they told.
 
         Called regularly, so that what comes close together goes in one datagram.
@@ -169,7 +173,9 @@
         finally:
             self._fetching.discard(host)
         now_ms = clock.now_ms()
-        self.merged(now_ms, taken.merge_into(now_ms, asked_ms, self._knowledge), host)
+        self.publish_merge(
+            now_ms, taken.merge_into(now_ms, asked_ms, self._knowledge), host
+        )
         self.peers.add_members(now_ms, taken.sender_state.members)
 
     def _send_peer(self, item: exchange.Outgoing) -> None:
--- a/eelgrasswick/cookie/twisted_errors.py
+++ b/eelgrasswick/cookie/twisted_errors.py
@@ -10,7 +10,7 @@
 TRACE_CHARACTERS: typing.Final = 600
 
 
-def take(log: event_log.EventLog, counted: stats.Stats) -> None:
+def redirect_to_log(log: event_log.EventLog, counted: stats.Stats) -> None:
     """Write errors that Twisted reports as events of a log.
 
     An error in a callback that nobody waits for would otherwise go to standard
--- a/eelgrasswick/cookie/web.py
+++ b/eelgrasswick/cookie/web.py
@@ -7,7 +7,7 @@
 from twisted.protocols import policies
 
 # A connection that says nothing would hold a descriptor for good.
-SILENT_S: typing.Final = 30
+IDLE_TIMEOUT_S: typing.Final = 30
 
 
 class Page(typing.NamedTuple):
@@ -30,7 +30,7 @@
 
     def connectionMade(self) -> None:  # noqa: N802
         """Bound how long the client may be silent."""
-        self.setTimeout(SILENT_S)
+        self.setTimeout(IDLE_TIMEOUT_S)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Take bytes of a request."""
--- a/tests/cookie_parts.py
+++ b/tests/cookie_parts.py
@@ -72,7 +72,7 @@
     return source.Changes(rows, max(row.revision for row in rows), 0)
 
 
-def known(*rows: source.Row, now_ms: int = 0) -> catalog.Catalog:
+def catalog_from(*rows: source.Row, now_ms: int = 0) -> catalog.Catalog:
     """Return a catalog that was read from rows."""
     made = catalog.Catalog(entries.Reader())
     made.update(now_ms, knowledge.Merge(rows, 0))
--- a/tests/steering_parts.py
+++ b/tests/steering_parts.py
@@ -12,7 +12,7 @@
 @pytest.fixture
 def known() -> catalog.Catalog:
     """Return three targets of a service, two of them in the VM's zone."""
-    return cookie_parts.known(
+    return cookie_parts.catalog_from(
         cookie_parts.config_row(1),
         cookie_parts.target_row("i-0a", 2),
         cookie_parts.target_row("i-0b", 3),
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -9,7 +9,7 @@
 
 @pytest.fixture
 def known() -> catalog.Catalog:
-    return cookie_parts.known(
+    return cookie_parts.catalog_from(
         cookie_parts.config_row(1),
         cookie_parts.target_row("i-0a", 2),
         cookie_parts.target_row("i-0b", 3),
@@ -119,7 +119,7 @@
     elder is used.
     """
     monkeypatch.setattr(model.Target, "cookie", property(lambda _: 5))
-    known = cookie_parts.known(
+    known = cookie_parts.catalog_from(
         cookie_parts.config_row(1),
         cookie_parts.target_row("i-0a", 2, born=9),
         cookie_parts.target_row("i-0b", 3, born=8),
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -100,7 +100,7 @@
 @pytest.fixture
 def known() -> catalog.Catalog:
     """Return three warm targets of a service that limits cold ones."""
-    return cookie_parts.known(
+    return cookie_parts.catalog_from(
         _config(1),
         cookie_parts.target_row("i-0a", 2),
         cookie_parts.target_row("i-0b", 3),
@@ -228,7 +228,7 @@
 def test_vm_whose_clock_is_behind_takes_targets_for_warm() -> None:
     """Guards against a VM that starts with a wrong time of day and refuses everyone."""
     ages = cold_targets.Ages(unix_s=lambda: 0.5)
-    (target, *_) = cookie_parts.known(
+    (target, *_) = cookie_parts.catalog_from(
         _config(1), cookie_parts.target_row("i-0a", 2)
     ).targets
     ages.seen(0, target, watched=False)
@@ -238,7 +238,7 @@
 def test_vm_that_starts_finds_new_targets_cold() -> None:
     """Guards against a VM that hears of a server just after its start."""
     ages = cold_targets.Ages(unix_s=lambda: 1.5)
-    (target, *_) = cookie_parts.known(
+    (target, *_) = cookie_parts.catalog_from(
         _config(1), cookie_parts.target_row("i-0a", 2)
     ).targets
     ages.seen(0, target, watched=False)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -158,7 +158,7 @@
 
 def test_vm_that_starts_during_an_evacuation_knows_of_it() -> None:
     """Guards against a VM that is told all rows and overlooks the operators' order."""
-    made = cookie_parts.known(
+    made = cookie_parts.catalog_from(
         _order(1),
         cookie_parts.target_row("i-0a", 2),
         cookie_parts.target_row("i-0b", 3, zone="z2"),
