--- a/eelgrasswick/cookie/bootstrap.py
+++ b/eelgrasswick/cookie/bootstrap.py
@@ -123,7 +123,7 @@
     # is read sooner without.
     reader: typing.Any = importlib.import_module("eelgrasswick.cookie.offer")
     end_s = time.monotonic() + RESPONSE_TIMEOUT_S
-    strings = _receive(connection, end_s, reader.STRINGS, reader.MAX_BYTES)
+    strings = _receive(connection, end_s, reader.STRING_COUNT, reader.MAX_BYTES)
     decoded: offer.Offer = reader.decode(*strings)
     return decoded
 
