--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -112,21 +112,21 @@
             self._give_up("no response from the store in time")
 
     def _fetch_from_peer(self) -> bool:
-        answer = bootstrap.ask(self._seeds, self._carrier.parts.log)
+        answer = bootstrap.fetch_rows(self._seeds, self._carrier.parts.log)
         if answer is None:
             return False
         local_rows = self._carrier.parts.knowledge
         now_ms = clock.now_ms()
-        merge = answer.offer.learn(now_ms, answer.asked_ms, local_rows)
+        merge = answer.offer.merge_into(now_ms, answer.requested_ms, local_rows)
         self._carrier.apply_rows(now_ms, merge, answer.host)
-        self.members = answer.offer.standing.members
+        self.members = answer.offer.sender_state.members
         self._carrier.parts.log.write(
             "bootstrapped",
             peer=answer.host,
-            took_ms=now_ms - answer.asked_ms,
+            took_ms=now_ms - answer.requested_ms,
             members=len(self.members),
             revision=local_rows.revision,
-            age_ms=knowledge.shown_ms(local_rows.age_ms(now_ms)),
+            age_ms=knowledge.reported_age_ms(local_rows.age_ms(now_ms)),
         )
         # Rows that are old because of an outage of the store are better than none, but
         # the store may be available again by now.
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -230,7 +230,9 @@
 def _offer(age_ms: int, *rows: source.Row) -> tuple[bytes, bytes]:
     members = (peers.Member("10.0.0.8", "z1"),)
     changes = source.Changes(rows, 7, 0)
-    offers = offer.Offers(lambda _: changes, lambda: offer.Standing(age_ms, members))
+    offers = offer.OfferEncoder(
+        lambda _: changes, lambda: offer.SenderState(age_ms, members)
+    )
     return offers.encode(0)
 
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -22,7 +22,7 @@
 
 def _update(
     known: catalog.Catalog, *rows: source.Row, gap_ms: int = 0
-) -> list[catalog.Note]:
+) -> list[catalog.LogEvent]:
     return known.update(10, knowledge.Merge(rows, gap_ms))
 
 
@@ -158,7 +158,7 @@
 
 def test_vm_that_starts_during_an_evacuation_knows_of_it() -> None:
     """Guards against a VM that is told all rows and overlooks the operators' order."""
-    made = cookie_parts.known(
+    made = cookie_parts.catalog_from(
         _order(1),
         cookie_parts.target_row("i-0a", 2),
         cookie_parts.target_row("i-0b", 3, zone="z2"),
@@ -187,9 +187,9 @@
     rows = (cookie_parts.config_row(1), cookie_parts.target_row("i-0a", 2))
     known.merge(0, cookie_parts.listing(*rows))
     known.merge(10, source.Changes((_order(3),), 3, 2))
-    assert known.since(2).rows == (_order(3),)
+    assert known.changes_since(2).rows == (_order(3),)
     known.merge(20, source.Changes((_order(4, None),), 4, 3))
-    assert known.since(3).rows == (_order(4, None),)
+    assert known.changes_since(3).rows == (_order(4, None),)
 
 
 def test_target_that_starts_in_an_evacuated_zone_is_left_alone(
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -180,7 +180,7 @@
     decision = steering_parts.steer(steers, 100, raw)
     assert decision.outcome is steering.Outcome.NO_TARGET_YET
     assert decision.datagram is None
-    for now_ms in range(0, catalog.LAPSE_MS + 1, 500):
+    for now_ms in range(0, catalog.LAPSED_ENTRY_GRACE_MS + 1, 500):
         known.tick(now_ms, confirmed_ms=now_ms)
     assert steering_parts.steer(steers, 2100, raw).outcome is steering.Outcome.NO_TARGET
 
@@ -204,8 +204,8 @@
     A VM that counts its own flows only would fill it further.
     """
     first, second, elsewhere = known.accepting("desk")
-    filled = [reports.Entry(t.cookie, 30, 0, False) for t in (first, elsewhere)]
-    seen.reports.take(0, "10.0.0.8", tuple(filled))
+    filled = [reports.TargetReport(t.cookie, 30, 0, False) for t in (first, elsewhere)]
+    seen.reports.record(0, "10.0.0.8", tuple(filled))
     seen.tick(0)
     targets = []
     for port in range(41_000, 41_020):
