--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -179,9 +179,9 @@
                 if not self._outdated(now_ms):
                     self.switch.relay(now_ms, item)
             case wire.Ask():
-                self.switch.ask(now_ms, sender, item)
+                self.switch.handle_inquiry(now_ms, sender, item)
             case wire.Tell():
-                self.switch.tell(now_ms, sender, item)
+                self.switch.handle_inquiry_response(now_ms, sender, item)
             case wire.PingVia():
                 self.membership.ping_via(source, item)
             case _:
--- a/eelgrasswick/node.py
+++ b/eelgrasswick/node.py
@@ -105,7 +105,7 @@
         """Take an inquiry about a flow, or the answer to one."""
         item = wire.decode(payload)
         if isinstance(item, wire.Ask):
-            self._switch.ask(now_ms, sender, item)
+            self._switch.handle_inquiry(now_ms, sender, item)
         elif isinstance(item, wire.Tell):
-            self._switch.tell(now_ms, sender, item)
+            self._switch.handle_inquiry_response(now_ms, sender, item)
         return self.outbox.take()
