--- a/eelgrasswick/homes/replica.py
+++ b/eelgrasswick/homes/replica.py
@@ -18,7 +18,7 @@
 
 KEEP_MS: typing.Final = 3_600_000
 KEEP_FLOWS: typing.Final = 500_000
-BATCH: typing.Final = 500
+BATCH_FLOWS: typing.Final = 500
 BATCHES_PER_TICK: typing.Final = 8
 
 
@@ -74,7 +74,7 @@
         budget = self._flush_placed(self._keep, wire.Keep, budget)
         while budget and self._forget:
             receiver, flows = next(iter(self._forget.items()))
-            batch = tuple(flows)[:BATCH]
+            batch = tuple(flows)[:BATCH_FLOWS]
             self._peers.send_link(receiver, wire.Forget(batch))
             flows.difference_update(batch)
             if not flows:
@@ -89,7 +89,9 @@
     ) -> int:
         while budget and waiting:
             receiver, flows = next(iter(waiting.items()))
-            batch = tuple(wire.Placed(*item) for item in list(flows.items())[:BATCH])
+            batch = tuple(
+                wire.Placed(*item) for item in list(flows.items())[:BATCH_FLOWS]
+            )
             self._peers.send_link(receiver, kind(batch))
             for entry in batch:
                 del flows[entry.flow]
--- a/eelgrasswick/trials/trial_placement.py
+++ b/eelgrasswick/trials/trial_placement.py
@@ -374,7 +374,7 @@
 
 
 def _per_entry(kind: typing.Any, entry: typing.Any) -> float:
-    return len(wire.encode(kind((entry,) * replica.BATCH))) / replica.BATCH
+    return len(wire.encode(kind((entry,) * replica.BATCH_FLOWS))) / replica.BATCH_FLOWS
 
 
 KEEP_BYTES: typing.Final = _per_entry(wire.Keep, wire.Placed(bytes(13), "target-17"))
