--- a/eelgrasswick/homes/epoch.py
+++ b/eelgrasswick/homes/epoch.py
@@ -20,7 +20,7 @@
 from eelgrasswick.homes import rendezvous
 
 _SLOT_MASK: typing.Final = 0xFFF
-MAX_EARLIER: typing.Final = 6
+MAX_EARLIER_EPOCHS: typing.Final = 6
 _MAX_CAME: typing.Final = 50
 
 
@@ -243,10 +243,10 @@
         self._heard = 0
         self._window_ms = window_ms
         self._earlier: collections.deque[_Earlier] = collections.deque(
-            maxlen=MAX_EARLIER
+            maxlen=MAX_EARLIER_EPOCHS
         )
         self._by_config: collections.deque[Epoch] = collections.deque(
-            maxlen=MAX_EARLIER
+            maxlen=MAX_EARLIER_EPOCHS
         )
 
     @property
--- a/eelgrasswick/trials/capacity_table.py
+++ b/eelgrasswick/trials/capacity_table.py
@@ -298,10 +298,14 @@
         Cost("keeper", "candidates of all services per change", CORE, epoch_cpu),
         Cost(
             "keeper",
-            f"compiled rules, {epoch.MAX_EARLIER + 1} configurations kept",
+            f"compiled rules, {epoch.MAX_EARLIER_EPOCHS + 1} configurations kept",
             MEMORY,
             lambda size: (
-                (lines(size) * slopes.config_bytes_per_line * (epoch.MAX_EARLIER + 1))
+                (
+                    lines(size)
+                    * slopes.config_bytes_per_line
+                    * (epoch.MAX_EARLIER_EPOCHS + 1)
+                )
                 / 1e6
             ),
         ),
