--- a/eelgrasswick/change.py
+++ b/eelgrasswick/change.py
@@ -373,7 +373,7 @@
     before: config.Document, rules: rule.Rules, text: str, author: str, now_ms: int
 ) -> config.Document:
     sequence = before.sequence + 1
-    reused = retired.addresses(before, rules)
+    reused = retired.reused_addresses(before, rules)
     return config.Document(
         sequence,
         _change_id(author, text, sequence),
--- a/eelgrasswick/homes/retired.py
+++ b/eelgrasswick/homes/retired.py
@@ -44,7 +44,7 @@
     ]
 
 
-def addresses(before: config.Document, rules: rule.Rules) -> tuple[str, ...]:
+def reused_addresses(before: config.Document, rules: rule.Rules) -> tuple[str, ...]:
     """Return the service addresses that belonged to another service before."""
     former = rule.parse(before.text + "\n" + before.retired).rules.services
     owner = {config.address_label(item): item.name for item in former}
