--- a/eelgrasswick/commands/command_show.py
+++ b/eelgrasswick/commands/command_show.py
@@ -58,7 +58,7 @@
 
     def _question(self) -> Question | None:
         if self.flow:
-            return wire.ExplainFlow(explain.read_flow(self.flow).packed)
+            return wire.ExplainFlow(explain.parse_flow(self.flow).packed)
         return wire.ExplainTarget(self.target) if self.target else None
 
     async def _in_force(self, reactor: typing.Any) -> None:
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -24,7 +24,7 @@
 _PROTOCOLS: typing.Final = {"tcp": packet.Protocol.TCP, "udp": packet.Protocol.UDP}
 
 
-def read_flow(text: str) -> packet.FlowKey:
+def parse_flow(text: str) -> packet.FlowKey:
     """Read a flow in the form in which the logs write it.
 
     Args:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -69,7 +69,7 @@
 def test_flow_that_is_not_there_says_so(
     small_world: world.World, text: str, reason: str
 ) -> None:
-    question = wire.ExplainFlow(explain.read_flow(text).packed)
+    question = wire.ExplainFlow(explain.parse_flow(text).packed)
     facts = asked(small_world, "vm1", question)
     if "home" in facts:
         facts = asked(small_world, facts["home"], question)
@@ -84,7 +84,7 @@
 @given(strategies.text(max_size=60))
 def test_any_text_gives_a_flow_or_a_value_error(text: str) -> None:
     try:
-        key = explain.read_flow(text)
+        key = explain.parse_flow(text)
     except ValueError:
         return
-    assert explain.read_flow(str(key)) == key
+    assert explain.parse_flow(str(key)) == key
