--- a/eelgrasswick/emulation/virtual_fleet.py
+++ b/eelgrasswick/emulation/virtual_fleet.py
@@ -55,7 +55,7 @@
 class _Announcer(membership.Membership):
     """Membership that announces with a fan-out of the trial's choice."""
 
-    fan_out = engine.ANNOUNCE_COUNT
+    fan_out = engine.ANNOUNCE_FAN_OUT
     announced = 0
 
     def announce(self, count: int) -> None:
@@ -139,7 +139,7 @@
         zones: typing.Sequence[str],
         seed: int,
         loss: float = 0.0,
-        fan_out: int = engine.ANNOUNCE_COUNT,
+        fan_out: int = engine.ANNOUNCE_FAN_OUT,
         policy: type[placement.Placement] = placement.BoundedHash,
     ) -> None:
         """Start VMs spread over zones.
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -45,7 +45,7 @@
 HINT_CAPACITY: typing.Final = 400_000
 EPOCH_WINDOW_MS: typing.Final = 5000
 LOAD_REPORT_MS: typing.Final = 1000
-ANNOUNCE_COUNT: typing.Final = 4
+ANNOUNCE_FAN_OUT: typing.Final = 4
 FORGET_PAUSE_MS: typing.Final = 3000
 DISCARD_MS: typing.Final = 100
 
@@ -313,7 +313,7 @@
         if self.keeper.current is not None:
             self._begin_epoch(now_ms, self.keeper.current)
         if announce:
-            self.membership.announce(ANNOUNCE_COUNT)
+            self.membership.announce(ANNOUNCE_FAN_OUT)
 
     def _begin_epoch(self, now_ms: int, current: config.Config) -> None:
         before = self.tables.epochs.current
