--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -287,7 +287,7 @@
 
     def _expire_flows(self, now_ms: int) -> None:
         for item in self.tables.flows.expire(now_ms):
-            if item.record.counts:
+            if item.record.is_active:
                 self.outbox.count(message.Counter.FLOWS_EXPIRED)
 
     def _report_load(self, now_ms: int) -> None:
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -103,7 +103,7 @@
             facts["origin"] = record.origin.value
             facts["flow_state"] = record.state.value
             facts["known_for_ms"] = str(now_ms - record.opened_ms)
-            facts["silent_for_ms"] = str(now_ms - record.seen_ms)
+            facts["silent_for_ms"] = str(now_ms - record.last_packet_ms)
         facts["reason"] = _reason(facts, owner, self._fleet.me.name)
         return facts
 
--- a/eelgrasswick/homes/flow.py
+++ b/eelgrasswick/homes/flow.py
@@ -39,28 +39,28 @@
         origin: How the target is known.
         state: Where the flow is in its life.
         opened_ms: When this VM first saw the flow.
-        seen_ms: When a packet of it last came by.
-        idle_ms: Silence after which it is forgotten.
-        first: The packet that opened it, until the target has answered.
+        last_packet_ms: When a packet of it last came by.
+        idle_timeout_ms: Silence after which it is forgotten.
+        first_packet: The packet that opened it, until the target has answered.
         syn_ack_sequence: Sequence number of the target's SYN-ACK, until the caller has
             acknowledged it.
-        refuted: Names of targets that are known not to hold the flow.
-        caller_done: The caller has sent its FIN.
-        target_done: The target has sent its FIN.
+        ruled_out: Names of targets that are known not to hold the flow.
+        caller_finished: The caller has sent its FIN.
+        target_finished: The target has sent its FIN.
     """
 
     __slots__ = (
-        "caller_done",
-        "first",
+        "caller_finished",
+        "first_packet",
         "syn_ack_sequence",
-        "idle_ms",
+        "idle_timeout_ms",
         "opened_ms",
         "origin",
-        "refuted",
-        "seen_ms",
+        "ruled_out",
+        "last_packet_ms",
         "state",
         "target",
-        "target_done",
+        "target_finished",
     )
 
     def __init__(
@@ -69,22 +69,22 @@
         origin: Origin,
         state: State,
         now_ms: int,
-        idle_ms: int,
+        idle_timeout_ms: int,
     ) -> None:
         """Record a flow that this VM knows from now on."""
         self.target = chosen
         self.origin = origin
         self.state = state
         self.opened_ms = now_ms
-        self.seen_ms = now_ms
-        self.idle_ms = idle_ms
-        self.first: packet.Packet | None = None
+        self.last_packet_ms = now_ms
+        self.idle_timeout_ms = idle_timeout_ms
+        self.first_packet: packet.Packet | None = None
         self.syn_ack_sequence: int | None = None
-        self.refuted: frozenset[str] = frozenset()
-        self.caller_done = False
-        self.target_done = False
+        self.ruled_out: frozenset[str] = frozenset()
+        self.caller_finished = False
+        self.target_finished = False
 
-    def expect_end(self) -> None:
+    def shorten_idle_timeout(self) -> None:
         """Forget a flow soon that was learned, because a side of it has ended.
 
         The other side's end can have come to the former home, which does not
@@ -92,14 +92,14 @@
         flow for a quarter of an hour, and a drained target would not get empty.
         """
         if self.origin is Origin.LEARNED:
-            self.idle_ms = min(self.idle_ms, LINGER_MS)
+            self.idle_timeout_ms = min(self.idle_timeout_ms, LINGER_MS)
 
     @property
-    def counts(self) -> bool:
+    def is_active(self) -> bool:
         """True while the flow takes room at its target."""
         return self.state is not State.CLOSED
 
-    def answers_another(self, item: packet.Packet) -> bool:
+    def acknowledges_other_target(self, item: packet.Packet) -> bool:
         """Tell whether a caller's packet shows that it met another target.
 
         Args:
@@ -115,11 +115,11 @@
         return ahead % _SEQUENCES >= _WINDOW
 
     @property
-    def until_ms(self) -> int:
+    def expires_ms(self) -> int:
         """When the record may be dropped unless a packet comes."""
         if self.state is State.CLOSED:
-            return self.seen_ms + LINGER_MS
-        return self.seen_ms + self.idle_ms
+            return self.last_packet_ms + LINGER_MS
+        return self.last_packet_ms + self.idle_timeout_ms
 
 
 class Caller(typing.NamedTuple):
@@ -163,14 +163,14 @@
         """Take a record in, in place of any earlier one."""
         self.remove(flow)
         self._records[flow] = record
-        self._wheel.add(flow, _check_ms(record.seen_ms, record))
-        if record.counts:
+        self._wheel.add(flow, _check_ms(record.last_packet_ms, record))
+        if record.is_active:
             self._count(flow, record.target, 1)
 
     def remove(self, flow: packet.FlowKey) -> Record | None:
         """Drop a record and return it."""
         record = self._records.pop(flow, None)
-        if record is not None and record.counts:
+        if record is not None and record.is_active:
             self._count(flow, record.target, -1)
         return record
 
@@ -181,7 +181,7 @@
 
     def move(self, flow: packet.FlowKey, record: Record, to: target.Target) -> None:
         """Point a record to another target."""
-        if record.counts:
+        if record.is_active:
             self._count(flow, record.target, -1)
             self._count(flow, to, 1)
         record.target = to
@@ -194,11 +194,11 @@
         while other VMs may still hold a hint of the old flow. Without the
         linger one would see resets just after ports are used again.
         """
-        if not record.counts:
+        if not record.is_active:
             return
         self._count(flow, record.target, -1)
         record.state = State.CLOSED
-        record.seen_ms = now_ms
+        record.last_packet_ms = now_ms
 
     def expire(self, now_ms: int) -> list[Expired]:
         """Drop the records whose time is over and return them."""
@@ -207,7 +207,7 @@
             record = self._records.get(flow)
             if record is None:
                 continue
-            if record.until_ms <= now_ms:
+            if record.expires_ms <= now_ms:
                 self.remove(flow)
                 dropped.append(Expired(flow, record))
             else:
@@ -224,7 +224,7 @@
     # A wheel entry outlives its record. Were it set for the whole idle time,
     # hundreds of thousands of entries of short, ended flows would pile up; so
     # a record is looked at at least once every linger time.
-    return min(record.until_ms, now_ms + LINGER_MS)
+    return min(record.expires_ms, now_ms + LINGER_MS)
 
 
 Counted = typing.TypeVar("Counted")
--- a/eelgrasswick/homes/guess.py
+++ b/eelgrasswick/homes/guess.py
@@ -71,7 +71,7 @@
         # whose target the caller did not answer takes the flow for unknown.
         record.syn_ack_sequence = None
         record.origin = flow.Origin.GUESSED
-        record.first = item
+        record.first_packet = item
         self._tables.outbox.count(_COUNT.FLOWS_GUESSED)
         self.refute(key, owner, record)
 
@@ -88,17 +88,17 @@
         Returns:
             False when no possible target is left.
         """
-        record.refuted = record.refuted | {record.target.name}
+        record.ruled_out = record.ruled_out | {record.target.name}
         rest = [
             other
             for other in self._candidates(key, owner)
-            if other.name not in record.refuted
+            if other.name not in record.ruled_out
         ]
         if not rest:
             return False
         self._tables.flows.move(key, record, rest[0])
-        if record.first is not None:
-            send = message.SendDatagram(record.target.endpoint, record.first.raw)
+        if record.first_packet is not None:
+            send = message.SendDatagram(record.target.endpoint, record.first_packet.raw)
             self._tables.outbox.put(send)
         return True
 
--- a/eelgrasswick/homes/hint.py
+++ b/eelgrasswick/homes/hint.py
@@ -13,7 +13,7 @@
     """The target of one flow, as lately seen or told."""
 
     target: target.Target
-    until_ms: int
+    expires_ms: int
 
 
 class HintTable:
@@ -38,7 +38,7 @@
     def get(self, now_ms: int, flow: packet.FlowKey) -> target.Target | None:
         """Return the target of a flow when a hint is still good."""
         hint = self._hints.get(flow)
-        if hint is None or hint.until_ms < now_ms:
+        if hint is None or hint.expires_ms < now_ms:
             return None
         return hint.target
 
@@ -65,10 +65,10 @@
             hint = self._hints.get(flow)
             if hint is None:
                 continue
-            if hint.until_ms <= now_ms:
+            if hint.expires_ms <= now_ms:
                 del self._hints[flow]
             else:
-                self._wheel.add(flow, hint.until_ms)
+                self._wheel.add(flow, hint.expires_ms)
 
     def revise(
         self, valid: typing.Callable[[target.Target], target.Target | None]
--- a/eelgrasswick/homes/home.py
+++ b/eelgrasswick/homes/home.py
@@ -67,8 +67,8 @@
             self._unknown(arrival)
         elif item.opens:
             self._open_again(arrival, record)
-        elif record.answers_another(item):
-            record.seen_ms = now_ms
+        elif record.acknowledges_other_target(item):
+            record.last_packet_ms = now_ms
             self._guesser.disown(item, key, owner, record)
         else:
             self._continue(arrival, record)
@@ -148,7 +148,7 @@
 
     def _continue(self, arrival: _Arrival, record: flow.Record) -> None:
         item = arrival.item
-        record.seen_ms = arrival.now_ms
+        record.last_packet_ms = arrival.now_ms
         record.syn_ack_sequence = None
         if record.state is flow.State.OPENING:
             # The caller has met a target whose SYN-ACK took its way over
@@ -157,12 +157,12 @@
             record.state = flow.State.OPEN
             record.origin = flow.Origin.GUESSED
         if record.origin is flow.Origin.GUESSED:
-            record.first = item
+            record.first_packet = item
         self._send(record.target, item)
         if item.resets:
             self._close(arrival, record)
         elif item.finishes:
-            record.caller_done = True
+            record.caller_finished = True
             self._close_if_done(arrival, record)
 
     def _open_again(self, arrival: _Arrival, record: flow.Record) -> None:
@@ -170,7 +170,7 @@
         if record.state is flow.State.CLOSED:
             self._opener.reopen(now_ms, item, key, owner, record)
             return
-        record.seen_ms = now_ms
+        record.last_packet_ms = now_ms
         silent = self._opener.silent(now_ms, record)
         if record.state is flow.State.OPENING and silent:
             # The target has not answered the SYN and looks dead. Nothing but
@@ -287,7 +287,7 @@
         if record.target.name != sender.name:
             self._tables.flows.move(key, record, sender)
         record.origin = flow.Origin.LEARNED
-        record.first = None
+        record.first_packet = None
         name = record.target.name
         self._tables.outbox.put(
             message.log("guess_settled", flow=str(key), target=name)
@@ -303,43 +303,43 @@
                 self._close(arrival, record)
             return
         opening = record.state is flow.State.OPENING
-        if opening and item.refuses_open and record.first is not None:
+        if opening and item.refuses_open and record.first_packet is not None:
             # The target shed the flow before any work, so another may take it.
             self._tables.health.unanswered(now_ms, record.target.name)
             if self._opener.move(now_ms, key, owner, record):
-                self._send(record.target, record.first)
+                self._send(record.target, record.first_packet)
                 return
         self._pass(item)
         self._close(arrival, record, reset=True)
 
     def _answer_known(self, arrival: _Arrival, record: flow.Record) -> None:
         item = arrival.item
-        record.seen_ms = arrival.now_ms
+        record.last_packet_ms = arrival.now_ms
         if item.flags & packet.Flags.SYN:
-            record.first = None
+            record.first_packet = None
             record.syn_ack_sequence = item.sequence
             if record.state is flow.State.OPENING:
                 record.state = flow.State.OPEN
                 self._opener.answered(arrival.now_ms, record)
         elif record.origin is flow.Origin.GUESSED:
             record.origin = flow.Origin.LEARNED
-            record.first = None
+            record.first_packet = None
         self._pass(item)
         if item.finishes:
-            record.target_done = True
+            record.target_finished = True
             self._close_if_done(arrival, record)
 
     # Ends of flows.
 
     def _close_if_done(self, arrival: _Arrival, record: flow.Record) -> None:
-        if record.caller_done and record.target_done:
+        if record.caller_finished and record.target_finished:
             self._close(arrival, record)
-        record.expect_end()
+        record.shorten_idle_timeout()
 
     def _close(
         self, arrival: _Arrival, record: flow.Record, reset: bool = False
     ) -> None:
-        if not record.counts:
+        if not record.is_active:
             return
         now_ms, key = arrival.now_ms, arrival.key
         self._tables.flows.close(now_ms, key, record)
--- a/eelgrasswick/homes/inquiry.py
+++ b/eelgrasswick/homes/inquiry.py
@@ -40,7 +40,7 @@
 
 class _Delegation(typing.NamedTuple):
     name: str
-    until_ms: int
+    expires_ms: int
 
 
 class Delegations:
@@ -65,7 +65,7 @@
     def get(self, now_ms: int, key: packet.FlowKey) -> str | None:
         """Return the VM to which a flow is left."""
         found = self._delegated.get(key)
-        return found.name if found is not None and found.until_ms > now_ms else None
+        return found.name if found is not None and found.expires_ms > now_ms else None
 
     def clear(self) -> None:
         """Leave no flow to another VM any more."""
@@ -75,7 +75,7 @@
         """Drop what is over."""
         for key in self._wheel.due(now_ms):
             found = self._delegated.get(key)
-            if found is not None and found.until_ms <= now_ms:
+            if found is not None and found.expires_ms <= now_ms:
                 del self._delegated[key]
 
 
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -249,7 +249,7 @@
             chosen, flow.Origin.PLACED, state, now_ms, owner.idle_s * 1000
         )
         if opening:
-            record.first = item
+            record.first_packet = item
             self._opening.append(Waiting(now_ms + health.ANSWER_MS, key, record))
         self._tables.flows.add(key, record)
         self._tables.hints.forget(key)
@@ -268,11 +268,11 @@
         """Point an opening flow to another target; False when it must stay."""
         if not self.chooser.retry.spend():
             return False
-        refuted = record.refuted | {record.target.name}
-        chosen = self._selector.choose(now_ms, key, owner, refuted).target
+        ruled_out = record.ruled_out | {record.target.name}
+        chosen = self._selector.choose(now_ms, key, owner, ruled_out).target
         if chosen is None:
             return False
-        record.refuted = refuted
+        record.ruled_out = ruled_out
         self._tables.outbox.put(
             message.log(
                 "flow_moved",
@@ -338,9 +338,13 @@
         self._tables.health.unanswered(now_ms, record.target.name)
         current = self._tables.epochs.current
         owner = current.config.services.get(record.target.service) if current else None
-        if owner is None or record.first is None or not self._pending.mine(key, owner):
+        if (
+            owner is None
+            or record.first_packet is None
+            or not self._pending.mine(key, owner)
+        ):
             return
-        self._open_again(now_ms, key, owner, record, record.first)
+        self._open_again(now_ms, key, owner, record, record.first_packet)
 
     def _open_again(
         self,
--- a/eelgrasswick/homes/rehome.py
+++ b/eelgrasswick/homes/rehome.py
@@ -84,4 +84,4 @@
 
 
 def _certain(record: flow.Record) -> bool:
-    return record.counts and record.origin is not flow.Origin.GUESSED
+    return record.is_active and record.origin is not flow.Origin.GUESSED
--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -92,7 +92,7 @@
 
     def _known(self, now_ms: int, key: packet.FlowKey) -> target.Target | None:
         record = self._tables.flows.get(key)
-        if record is not None and record.counts and record.origin.value != "guessed":
+        if record is not None and record.is_active and record.origin.value != "guessed":
             return record.target
         hint = self._tables.hints.get(now_ms, key)
         return hint or self._tables.replicator.kept.get(now_ms, key)
