--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -189,7 +189,7 @@
 
     def _heard(self, now_ms: int, item: wire.Ping | wire.Ack) -> None:
         self.keeper.heard(now_ms, item.sender.name, item.sequence)
-        self.tables.epochs.heard(item.sequence)
+        self.tables.epochs.note_sequence(item.sequence)
 
     def _stranger(
         self, now_ms: int, source: packet.Address, item: wire.PeerMessage
@@ -341,7 +341,7 @@
         # side's view had been in force here too.
         back = [item for item in members if item.name not in before.members]
         if back:
-            self.tables.epochs.note(now_ms, epoch.Epoch(before.config, back))
+            self.tables.epochs.add_earlier(now_ms, epoch.Epoch(before.config, back))
 
     def _revise(self, before: config.Config, after: config.Config) -> None:
         changed = {
--- a/eelgrasswick/homes/epoch.py
+++ b/eelgrasswick/homes/epoch.py
@@ -21,7 +21,7 @@
 
 _SLOT_MASK: typing.Final = 0xFFF
 MAX_EARLIER_EPOCHS: typing.Final = 6
-_MAX_CAME: typing.Final = 50
+_MAX_JOINED: typing.Final = 50
 
 
 class Location(typing.NamedTuple):
@@ -144,11 +144,11 @@
         return found
 
     @property
-    def known_slots(self) -> int:
+    def cached_slots(self) -> int:
         """Number of slots whose owners have been worked out."""
         return len(self._owners)
 
-    def follow(self, before: "Epoch") -> None:
+    def reuse_from(self, before: "Epoch") -> None:
         """Take over what an earlier epoch worked out and the change left alone.
 
         A slot's home and backup are ranked over all VMs. Ranked anew after each
@@ -162,24 +162,24 @@
         if before.config is self.config:
             self._targets = before._targets
         here, there = self._ranked_members(), before._ranked_members()
-        came = here - there
-        went = {item.name for item in there - here}
-        if len(came) > _MAX_CAME:
+        joined = here - there
+        departed = {item.name for item in there - here}
+        if len(joined) > _MAX_JOINED:
             return
         for (zone, slot), owners in before._owners.items():
-            if owners.home in went or owners.backup in went:
+            if owners.home in departed or owners.backup in departed:
                 continue
-            if not self._lasting(before, zone, owners):
+            if not self._is_reusable(before, zone, owners):
                 continue
             key = slot.to_bytes(2, "big")
-            self._owners[(zone, slot)] = self._overtake(key, zone, owners, came)
+            self._owners[(zone, slot)] = self._outrank(key, zone, owners, joined)
 
     def _ranked_members(self) -> set[_Ranked]:
         return {
             _Ranked(item.name, item.zone, item.size) for item in self.members.values()
         }
 
-    def _lasting(self, before: "Epoch", zone: str, owners: _Owners) -> bool:
+    def _is_reusable(self, before: "Epoch", zone: str, owners: _Owners) -> bool:
         # Without VMs in the zone, or with VMs in one zone only, owners are
         # ranked over another set; a change between the two ranks anew.
         if owners.home is None or owners.backup is None:
@@ -191,14 +191,14 @@
             and before.members[owners.backup].zone != zone
         )
 
-    def _overtake(
-        self, key: bytes, zone: str, owners: _Owners, came: set[_Ranked]
+    def _outrank(
+        self, key: bytes, zone: str, owners: _Owners, joined: set[_Ranked]
     ) -> _Owners:
-        if not came:
+        if not joined:
             return owners
         home, backup = owners
-        near = [home, *(item.name for item in came if item.zone == zone)]
-        far = [backup, *(item.name for item in came if item.zone != zone)]
+        near = [home, *(item.name for item in joined if item.zone == zone)]
+        far = [backup, *(item.name for item in joined if item.zone != zone)]
         return _Owners(self._best(key, near), self._best(key, far))
 
     def _best(self, key: bytes, names: list[str | None]) -> str | None:
@@ -240,7 +240,7 @@
     def __init__(self, window_ms: int) -> None:
         """Keep ended epochs for a window in milliseconds."""
         self.current: Epoch | None = None
-        self._heard = 0
+        self._newest_sequence = 0
         self._window_ms = window_ms
         self._earlier: collections.deque[_Earlier] = collections.deque(
             maxlen=MAX_EARLIER_EPOCHS
@@ -252,22 +252,25 @@
     @property
     def behind(self) -> bool:
         """True when another VM has told of a newer configuration."""
-        return self.current is not None and self._heard > self.current.config.sequence
+        return (
+            self.current is not None
+            and self._newest_sequence > self.current.config.sequence
+        )
 
-    def heard(self, sequence: int) -> None:
+    def note_sequence(self, sequence: int) -> None:
         """Note the sequence that another VM has in force."""
-        self._heard = max(self._heard, sequence)
+        self._newest_sequence = max(self._newest_sequence, sequence)
 
     def advance(self, now_ms: int, epoch: Epoch) -> None:
         """Put a new epoch in force."""
         if self.current is not None:
-            epoch.follow(self.current)
+            epoch.reuse_from(self.current)
             self._earlier.appendleft(_Earlier(self.current, now_ms))
             if self.current.config is not epoch.config:
                 self._by_config.appendleft(self.current)
         self.current = epoch
 
-    def note(self, now_ms: int, epoch: Epoch) -> None:
+    def add_earlier(self, now_ms: int, epoch: Epoch) -> None:
         """Treat an epoch that other VMs had as one that ended here now."""
         self._earlier.appendleft(_Earlier(epoch, now_ms))
 
--- a/tests/test_epoch_follow.py
+++ b/tests/test_epoch_follow.py
@@ -57,8 +57,8 @@
     before = epoch.Epoch(CONFIG, fleet)
     places(before)
     after = epoch.Epoch(CONFIG, fleet[1:])
-    after.follow(before)
-    assert after.known_slots > before.known_slots / 2
+    after.reuse_from(before)
+    assert after.cached_slots > before.cached_slots / 2
 
 
 def test_news_that_moves_no_home_is_taken_over_whole() -> None:
@@ -67,8 +67,8 @@
     before = epoch.Epoch(CONFIG, fleet)
     places(before)
     after = epoch.Epoch(CONFIG, [item._replace(incarnation=2) for item in fleet])
-    after.follow(before)
-    assert after.known_slots == before.known_slots
+    after.reuse_from(before)
+    assert after.cached_slots == before.cached_slots
 
 
 def test_new_rules_give_new_candidates() -> None:
@@ -94,5 +94,5 @@
     before = epoch.Epoch(CONFIG, fleet)
     places(before)
     after = epoch.Epoch(CONFIG, fleet[1:])
-    after.follow(before)
+    after.reuse_from(before)
     assert places(after) == places(epoch.Epoch(CONFIG, fleet[1:]))
