--- a/eelgrasswick/homes/emptiness.py
+++ b/eelgrasswick/homes/emptiness.py
@@ -14,7 +14,7 @@
 from eelgrasswick.fleet import member
 from eelgrasswick.homes import tables
 
-SURE_MS: typing.Final = 10_000
+EMPTY_CONFIRM_MS: typing.Final = 10_000
 
 
 class _Leaving:
@@ -82,7 +82,7 @@
             if item is None or known.noted or known.empty_ms is None:
                 continue
             own = item.zone == me.zone or item.zone not in zones
-            if own and now_ms - known.empty_ms >= SURE_MS:
+            if own and now_ms - known.empty_ms >= EMPTY_CONFIRM_MS:
                 known.noted = True
                 self._tables.outbox.put(
                     message.RecordEmpty(name, known.sequence, known.empty_ms, homes)
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -44,10 +44,10 @@
 HINT_TTL_MS: typing.Final = 10_000
 HINT_CAPACITY: typing.Final = 400_000
 EPOCH_WINDOW_MS: typing.Final = 5000
-LOAD_REPORT_MS: typing.Final = 1000
+LOAD_REPORT_INTERVAL_MS: typing.Final = 1000
 ANNOUNCE_FAN_OUT: typing.Final = 4
-FORGET_PAUSE_MS: typing.Final = 3000
-DISCARD_MS: typing.Final = 100
+STATE_RESET_PAUSE_MS: typing.Final = 3000
+WAKE_DISCARD_MS: typing.Final = 100
 
 
 class Engine:
@@ -133,8 +133,8 @@
         # have repeated them to VMs that took over, perhaps under other rules;
         # sent on, an old copy could start the same request on a second target.
         # So what waits is dropped; what still matters is sent again.
-        self._discard_until_ms = now_ms + DISCARD_MS
-        if paused_ms >= FORGET_PAUSE_MS:
+        self._discard_until_ms = now_ms + WAKE_DISCARD_MS
+        if paused_ms >= STATE_RESET_PAUSE_MS:
             # The others took this VM for dead and keep its flows. Its own
             # records may name targets of flows that ended, whose ports now
             # carry other flows; a packet sent by them would be lost or reset.
@@ -196,7 +196,7 @@
     ) -> None:
         # Operators' commands speak from machines that are no VM of the fleet.
         if isinstance(item, wire.ExplainFlow | wire.ExplainTarget):
-            self.peers.send_to(source, self._explainer.answer(now_ms, item))
+            self.peers.send_to(source, self._explainer.explain(now_ms, item))
         else:
             self.outbox.count(message.Counter.PACKETS_UNKNOWN_SENDER)
 
@@ -213,7 +213,7 @@
                     self._keep(now_ms, item)
             case wire.Forget():
                 for packed in item.flows:
-                    self.tables.replicator.kept.forget(wire.flow_key(packed))
+                    self.tables.replicator.copies.remove(wire.flow_key(packed))
             case wire.Handover():
                 if not self._outdated(now_ms):
                     self._handover(now_ms, item)
@@ -242,7 +242,7 @@
             known = self._target(entry.target)
             if known is not None:
                 key = wire.flow_key(entry.flow)
-                self.tables.replicator.kept.learn(now_ms, key, known)
+                self.tables.replicator.copies.learn(now_ms, key, known)
 
     def _handover(self, now_ms: int, item: wire.Handover) -> None:
         current = self.tables.epochs.current
@@ -278,7 +278,7 @@
         self.rehomer.step(now_ms)
         self.tables.replicator.flush()
         self.tables.hints.expire(now_ms)
-        self.tables.replicator.kept.expire(now_ms)
+        self.tables.replicator.copies.expire(now_ms)
         self.tables.loads.expire(now_ms)
         self._expire_flows(now_ms)
         self._report_load(now_ms)
@@ -293,7 +293,7 @@
     def _report_load(self, now_ms: int) -> None:
         if now_ms < self._report_ms:
             return
-        self._report_ms = now_ms + LOAD_REPORT_MS
+        self._report_ms = now_ms + LOAD_REPORT_INTERVAL_MS
         serving = [item.name for item in self.membership.others.values() if item.serves]
         self._emptiness.check(now_ms, self.membership.me, self.keeper.watching, serving)
         counts = self.tables.flows.open_by_target
@@ -324,7 +324,7 @@
         if before.config is current and before.same_members(members):
             return
         self.tables.epochs.advance(now_ms, epoch.Epoch(current, members))
-        self.home.reclaim()
+        self.home.end_delegations()
         self._note_return(now_ms, before, members)
         if before.config is not current:
             self._revise(before.config, current)
@@ -351,8 +351,8 @@
         }
         if not changed:
             return
-        self.tables.hints.revise(self._present)
-        self.tables.replicator.kept.revise(self._present)
+        self.tables.hints.update_targets(self._present)
+        self.tables.replicator.copies.update_targets(self._present)
         for key, record in self.tables.flows.items():
             if record.target.name not in changed:
                 continue
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -55,7 +55,7 @@
         self._keeper = kept
         self._fleet = fleet
 
-    def answer(
+    def explain(
         self, now_ms: int, asked: wire.ExplainFlow | wire.ExplainTarget
     ) -> wire.Explained:
         """Answer an operator's question.
@@ -112,7 +112,7 @@
         sources = {
             "record": record.target if record is not None else None,
             "hint": self._tables.hints.get(now_ms, key),
-            "copy": self._tables.replicator.kept.get(now_ms, key),
+            "copy": self._tables.replicator.copies.get(now_ms, key),
         }
         facts = {}
         for name, known in sources.items():
--- a/eelgrasswick/homes/guess.py
+++ b/eelgrasswick/homes/guess.py
@@ -20,7 +20,7 @@
 
 MAX_CANDIDATES: typing.Final = 16
 _COUNT: typing.Final = message.Counter
-_VIEWS: typing.Final = 2
+_MAX_VIEWS: typing.Final = 2
 
 
 class Guesser:
@@ -56,7 +56,7 @@
         self._tables.outbox.put(message.log("flow_guessed", flow=str(key), target=name))
         return record
 
-    def disown(
+    def convert_to_guess(
         self,
         item: packet.Packet,
         key: packet.FlowKey,
@@ -73,9 +73,9 @@
         record.origin = flow.Origin.GUESSED
         record.first_packet = item
         self._tables.outbox.count(_COUNT.FLOWS_GUESSED)
-        self.refute(key, owner, record)
+        self.try_next_target(key, owner, record)
 
-    def refute(
+    def try_next_target(
         self, key: packet.FlowKey, owner: service.Service, record: flow.Record
     ) -> bool:
         """Try the next possible target, because this one does not hold the flow.
@@ -117,13 +117,15 @@
 
     # First datagrams.
 
-    def certain(self, now_ms: int, key: packet.FlowKey, owner: service.Service) -> bool:
+    def all_owners_reachable(
+        self, now_ms: int, key: packet.FlowKey, owner: service.Service
+    ) -> bool:
         """Tell whether every VM that may have placed a flow can be asked."""
         former = self._tables.epochs.earlier_owners(now_ms, key, owner)
         peers = self._tables.peers
         return all(name == self._name or peers.reachable(name) for name in former)
 
-    def agreed(
+    def agreed_target(
         self, now_ms: int, key: packet.FlowKey, owner: service.Service
     ) -> target.Target | None:
         """Return where a former home that can't be asked would place a flow.
@@ -138,7 +140,7 @@
         current = self._tables.epochs.current
         assert current is not None
         defaults = self._tables.epochs.recent_defaults(now_ms, key, owner)
-        if not 0 < len(defaults) <= _VIEWS:
+        if not 0 < len(defaults) <= _MAX_VIEWS:
             return None
         present = current.config.targets.get(defaults[-1].name)
         return present if present is not None and present.accepts else None
--- a/eelgrasswick/homes/hint.py
+++ b/eelgrasswick/homes/hint.py
@@ -51,7 +51,7 @@
         if not known:
             self._wheel.add(flow, now_ms + self._ttl_ms)
 
-    def forget(self, flow: packet.FlowKey) -> None:
+    def remove(self, flow: packet.FlowKey) -> None:
         """Drop the hint of a flow, if any."""
         self._hints.pop(flow, None)
 
@@ -70,7 +70,7 @@
             else:
                 self._wheel.add(flow, hint.expires_ms)
 
-    def revise(
+    def update_targets(
         self, valid: typing.Callable[[target.Target], target.Target | None]
     ) -> None:
         """Replace each target by its present form and drop those that are gone."""
--- a/eelgrasswick/homes/home.py
+++ b/eelgrasswick/homes/home.py
@@ -69,7 +69,7 @@
             self._open_again(arrival, record)
         elif record.acknowledges_other_target(item):
             record.last_packet_ms = now_ms
-            self._guesser.disown(item, key, owner, record)
+            self._guesser.convert_to_guess(item, key, owner, record)
         else:
             self._continue(arrival, record)
 
@@ -97,9 +97,11 @@
         """Stop deciding about a flow, as another VM does now."""
         self._opener.cancel(key)
 
-    def tell(self, now_ms: int, sender: str, key: packet.FlowKey, name: str) -> None:
+    def take_response(
+        self, now_ms: int, sender: str, key: packet.FlowKey, name: str
+    ) -> None:
         """Take a former home's answer about a flow."""
-        settled = self._inquiries.tell(sender, key, name)
+        settled = self._inquiries.record_response(sender, key, name)
         if settled is not None:
             self._settle(now_ms, settled)
 
@@ -114,7 +116,7 @@
         Returns:
             False when this VM is asking for the same flow and goes first.
         """
-        if self._inquiries.asks(key) and self._name < asker:
+        if self._inquiries.is_open(key) and self._name < asker:
             return False
         self._inquiries.cancel(key)
         self._delegated.add(now_ms, key, asker)
@@ -127,7 +129,7 @@
             return None
         return name if self._tables.peers.reachable(name) else None
 
-    def reclaim(self) -> None:
+    def end_delegations(self) -> None:
         """End all leave given to other VMs, because homes may have changed."""
         # Left to a VM that is no longer the home, a flow's packets would go to
         # and fro between the two until each of its callers gives up.
@@ -171,7 +173,7 @@
             self._opener.reopen(now_ms, item, key, owner, record)
             return
         record.last_packet_ms = now_ms
-        silent = self._opener.silent(now_ms, record)
+        silent = self._opener.should_retry(now_ms, record)
         if record.state is flow.State.OPENING and silent:
             # The target has not answered the SYN and looks dead. Nothing but
             # the SYN was sent, so no work can have begun; should the target
@@ -183,15 +185,15 @@
     def _unknown(self, arrival: _Arrival) -> None:
         now_ms, item, key, owner = arrival
         shared = self._tables
-        if self._opener.holds(item, key):
+        if self._opener.take_if_waiting(item, key):
             return
         known = shared.hints.get(now_ms, key)
-        known = known or shared.replicator.kept.get(now_ms, key)
+        known = known or shared.replicator.copies.get(now_ms, key)
         # A copy can outlive its flow, and a SYN opens another on a used port.
         if known is not None and (known.accepts or not item.opens):
             self._adopt(arrival, known)
             return
-        if self._inquiries.hold(key, item):
+        if self._inquiries.append_if_open(key, item):
             return
         earlier = shared.epochs.earlier_owners(now_ms, key, owner)
         others = [name for name in earlier if name != self._name]
@@ -199,9 +201,9 @@
         if former:
             self._inquiries.start(now_ms, key, item, former)
             return
-        self._settle(now_ms, inquiry.Settled(key, (item,), "", True))
+        self._settle(now_ms, inquiry.InquiryResult(key, (item,), "", True))
 
-    def _settle(self, now_ms: int, settled: inquiry.Settled) -> None:
+    def _settle(self, now_ms: int, settled: inquiry.InquiryResult) -> None:
         current = self._tables.epochs.current
         assert current is not None
         key = settled.flow
@@ -228,10 +230,10 @@
 
     def _admit_datagram(self, arrival: _Arrival, answered: bool) -> None:
         now_ms, item, key, owner = arrival
-        if answered and self._guesser.certain(now_ms, key, owner):
+        if answered and self._guesser.all_owners_reachable(now_ms, key, owner):
             self._opener.admit(now_ms, item, key, owner, True)
             return
-        agreed = self._guesser.agreed(now_ms, key, owner)
+        agreed = self._guesser.agreed_target(now_ms, key, owner)
         if agreed is not None:
             self._opener.admit(now_ms, item, key, owner, False, agreed)
         else:
@@ -274,12 +276,12 @@
         item = arrival.item
         opens = bool(item.flags & packet.Flags.SYN)
         if record.origin is flow.Origin.GUESSED and not (item.resets or opens):
-            self.correct(arrival.key, sender)
+            self.confirm_target(arrival.key, sender)
             self._answer_known(arrival, record)
             return
         self._tables.outbox.count(_COUNT.ANSWERS_STRAY)
 
-    def correct(self, key: packet.FlowKey, sender: target.Target) -> None:
+    def confirm_target(self, key: packet.FlowKey, sender: target.Target) -> None:
         """Take an answer as proof of where a guessed flow is."""
         record = self._tables.flows.get(key)
         if record is None or record.origin is not flow.Origin.GUESSED:
@@ -296,7 +298,7 @@
     def _answer_reset(self, arrival: _Arrival, record: flow.Record) -> None:
         now_ms, item, key, owner = arrival
         if record.origin is flow.Origin.GUESSED:
-            if self._guesser.refute(key, owner, record):
+            if self._guesser.try_next_target(key, owner, record):
                 self._tables.outbox.count(_COUNT.RESETS_HELD_BACK)
             else:
                 self._pass(item)
@@ -320,7 +322,7 @@
             record.syn_ack_sequence = item.sequence
             if record.state is flow.State.OPENING:
                 record.state = flow.State.OPEN
-                self._opener.answered(arrival.now_ms, record)
+                self._opener.note_accepted(arrival.now_ms, record)
         elif record.origin is flow.Origin.GUESSED:
             record.origin = flow.Origin.LEARNED
             record.first_packet = None
@@ -345,7 +347,7 @@
         self._tables.flows.close(now_ms, key, record)
         self._tables.outbox.count(_COUNT.FLOWS_CLOSED)
         self._forget(key, record)
-        self._opener.ended(now_ms, key, record, reset)
+        self._opener.note_ended(now_ms, key, record, reset)
 
     def _forget(self, key: packet.FlowKey, record: flow.Record) -> None:
         current = self._tables.epochs.current
@@ -357,7 +359,7 @@
         default = place.default.name if place.default is not None else ""
         if record.target.name != default and place.backup not in (None, self._name):
             assert place.backup is not None
-            self._tables.replicator.forget(place.backup, key)
+            self._tables.replicator.queue_removal(place.backup, key)
 
     def _send(self, chosen: target.Target, item: packet.Packet) -> None:
         self._tables.outbox.put(message.SendDatagram(chosen.endpoint, item.raw))
--- a/eelgrasswick/homes/inquiry.py
+++ b/eelgrasswick/homes/inquiry.py
@@ -3,7 +3,7 @@
 When VMs come or go, or a new configuration moves flows, a VM becomes the home
 of flows that another VM placed a moment ago. Placing them anew could start the
 same flow on a second target. So the new home asks the former ones first, and
-waits for them no longer than ``ANSWER_MS``.
+waits for them no longer than ``RESPONSE_TIMEOUT_MS``.
 """
 
 import typing
@@ -15,14 +15,14 @@
 from eelgrasswick.fleet import peer
 from eelgrasswick.homes import _wheel
 
-ANSWER_MS: typing.Final = 60
-MAX_FLOWS: typing.Final = 4096
-MAX_PACKETS: typing.Final = 8
-DELEGATION_MS: typing.Final = 10_000
+RESPONSE_TIMEOUT_MS: typing.Final = 60
+MAX_INQUIRIES: typing.Final = 4096
+MAX_PACKETS_PER_FLOW: typing.Final = 8
+DELEGATION_TTL_MS: typing.Final = 10_000
 MAX_DELEGATIONS: typing.Final = 100_000
 
 
-class Settled(typing.NamedTuple):
+class InquiryResult(typing.NamedTuple):
     """The end of an inquiry.
 
     Attributes:
@@ -59,8 +59,8 @@
     def add(self, now_ms: int, key: packet.FlowKey, name: str) -> None:
         """Leave a flow to the VM ``name`` for a while."""
         if len(self._delegated) < MAX_DELEGATIONS:
-            self._delegated[key] = _Delegation(name, now_ms + DELEGATION_MS)
-            self._wheel.add(key, now_ms + DELEGATION_MS)
+            self._delegated[key] = _Delegation(name, now_ms + DELEGATION_TTL_MS)
+            self._wheel.add(key, now_ms + DELEGATION_TTL_MS)
 
     def get(self, now_ms: int, key: packet.FlowKey) -> str | None:
         """Return the VM to which a flow is left."""
@@ -96,12 +96,12 @@
         self._peers = peers
         self._open: dict[packet.FlowKey, _Open] = {}
 
-    def hold(self, key: packet.FlowKey, item: packet.Packet) -> bool:
+    def append_if_open(self, key: packet.FlowKey, item: packet.Packet) -> bool:
         """Let a packet wait with an open inquiry; False when there is none."""
         found = self._open.get(key)
         if found is None:
             return False
-        if len(found.packets) < MAX_PACKETS:
+        if len(found.packets) < MAX_PACKETS_PER_FLOW:
             found.packets.append(item)
         return True
 
@@ -110,15 +110,17 @@
     ) -> None:
         """Ask VMs about a flow and let its packet wait.
 
-        Above ``MAX_FLOWS`` the packet is dropped; its sender repeats it.
+        Above ``MAX_INQUIRIES`` the packet is dropped; its sender repeats it.
         """
-        if len(self._open) >= MAX_FLOWS:
+        if len(self._open) >= MAX_INQUIRIES:
             return
-        self._open[key] = _Open(now_ms + ANSWER_MS, set(names), item)
+        self._open[key] = _Open(now_ms + RESPONSE_TIMEOUT_MS, set(names), item)
         for name in names:
             self._peers.send(name, wire.Ask(key.packed))
 
-    def tell(self, sender: str, key: packet.FlowKey, name: str) -> Settled | None:
+    def record_response(
+        self, sender: str, key: packet.FlowKey, name: str
+    ) -> InquiryResult | None:
         """Take one VM's answer; return the end when it settles the inquiry."""
         found = self._open.get(key)
         if found is None or sender not in found.asked:
@@ -127,13 +129,13 @@
         if not name and found.asked:
             return None
         del self._open[key]
-        return Settled(key, tuple(found.packets), name, True)
+        return InquiryResult(key, tuple(found.packets), name, True)
 
     def cancel(self, key: packet.FlowKey) -> None:
         """Drop an inquiry and its packets, which their sender repeats."""
         self._open.pop(key, None)
 
-    def asks(self, key: packet.FlowKey) -> bool:
+    def is_open(self, key: packet.FlowKey) -> bool:
         """Tell whether an inquiry about a flow is open."""
         return key in self._open
 
@@ -141,9 +143,10 @@
         """Drop all inquiries and the packets that wait with them."""
         self._open.clear()
 
-    def overdue(self, now_ms: int) -> list[Settled]:
+    def overdue(self, now_ms: int) -> list[InquiryResult]:
         """End the inquiries whose time is over."""
         late = [key for key, item in self._open.items() if item.due_ms <= now_ms]
         return [
-            Settled(key, tuple(self._open.pop(key).packets), "", False) for key in late
+            InquiryResult(key, tuple(self._open.pop(key).packets), "", False)
+            for key in late
         ]
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -27,10 +27,10 @@
 
 _COUNT: typing.Final = message.Counter
 _DAY_MS: typing.Final = 86_400_000
-REPEAT_MS: typing.Final = 1000
+SYN_REPEAT_WINDOW_MS: typing.Final = 1000
 
 
-class Waiting(typing.NamedTuple):
+class UnansweredOpening(typing.NamedTuple):
     """An opening packet whose answer is still to come."""
 
     due_ms: int
@@ -50,25 +50,25 @@
         self._selector = selector.Selector(shared, policy)
         self.chooser = self._selector.chooser
         self._pending = pending.Pending(name, shared)
-        self._opening: collections.deque[Waiting] = collections.deque()
+        self._opening: collections.deque[UnansweredOpening] = collections.deque()
 
     def tick(self, now_ms: int) -> None:
         """Note silent targets, and serve or refuse what waits."""
         while self._opening and self._opening[0].due_ms <= now_ms:
             self._note_silence(now_ms, self._opening.popleft())
         self._selector.tick(now_ms)
-        for name in self._pending.names():
+        for name in self._pending.waiting_services():
             self._serve(now_ms, name)
 
-    def holds(self, item: packet.Packet, key: packet.FlowKey) -> bool:
+    def take_if_waiting(self, item: packet.Packet, key: packet.FlowKey) -> bool:
         """Take a packet of a flow that waits; False when it does not wait."""
-        return self._pending.holds(item, key)
+        return self._pending.take_if_waiting(item, key)
 
     def cancel(self, key: packet.FlowKey) -> None:
         """Stop deciding about a waiting flow, as another VM does now."""
         self._pending.cancel(key)
 
-    def silent(self, now_ms: int, record: flow.Record) -> bool:
+    def should_retry(self, now_ms: int, record: flow.Record) -> bool:
         """Tell whether an opening flow should try another target.
 
         Two openings of its own without an answer are enough. Were the flow to
@@ -79,12 +79,12 @@
             return True
         return self._tables.health.suspected(now_ms, record.target.name)
 
-    def answered(self, now_ms: int, record: flow.Record) -> None:
+    def note_accepted(self, now_ms: int, record: flow.Record) -> None:
         """Note that a target has accepted a flow."""
         opening_ms = now_ms - record.opened_ms
         self._selector.answered(now_ms, record.target.name, opening_ms)
 
-    def ended(
+    def note_ended(
         self, now_ms: int, key: packet.FlowKey, record: flow.Record, reset: bool
     ) -> None:
         """Learn from a flow that has ended, and use the room it leaves."""
@@ -107,7 +107,7 @@
             self._refuse_late(now_ms, late, owner, queue)
         while waiter := queue.first():
             item, key = waiter.item
-            if not self._pending.mine(key, owner):
+            if not self._pending.is_home(key, owner):
                 queue.cancel(waiter.flow)
                 continue
             chosen = self._selector.choose(now_ms, key, owner, frozenset())
@@ -120,12 +120,12 @@
     def _refuse_late(
         self,
         now_ms: int,
-        late: waiting.Waiter[pending.Held],
+        late: waiting.Waiter[pending.WaitingPacket],
         owner: service.Service,
         queue: pending.Queue,
     ) -> None:
         item, key = late.item
-        if not self._pending.mine(key, owner):
+        if not self._pending.is_home(key, owner):
             return
         retry_ms = queue.promise(now_ms, key.caller_ip)
         refusal = admission.Refusal(errors.ErrorKind.WAIT_EXPIRED, retry_ms)
@@ -250,9 +250,11 @@
         )
         if opening:
             record.first_packet = item
-            self._opening.append(Waiting(now_ms + health.ANSWER_MS, key, record))
+            self._opening.append(
+                UnansweredOpening(now_ms + health.ANSWER_MS, key, record)
+            )
         self._tables.flows.add(key, record)
-        self._tables.hints.forget(key)
+        self._tables.hints.remove(key)
         self._tables.outbox.count(_COUNT.FLOWS_PLACED)
         exception = self.replicate(key, owner, chosen)
         self.chooser.begin(now_ms, key.packed, chosen.name, exception)
@@ -284,7 +286,7 @@
         self._tables.flows.move(key, record, chosen)
         self.chooser.move(now_ms, key.packed, chosen.name)
         self._tables.outbox.count(_COUNT.FLOWS_MOVED)
-        self._opening.append(Waiting(now_ms + health.ANSWER_MS, key, record))
+        self._opening.append(UnansweredOpening(now_ms + health.ANSWER_MS, key, record))
         self.replicate(key, owner, chosen)
         return True
 
@@ -303,7 +305,7 @@
             return False
         self._tables.outbox.count(_COUNT.FLOWS_EXCEPTION)
         if place.backup is not None and place.backup != self._name:
-            self._tables.replicator.keep(place.backup, key, chosen)
+            self._tables.replicator.queue_copy(place.backup, key, chosen)
         return True
 
     def refuse(
@@ -330,7 +332,7 @@
             )
         )
 
-    def _note_silence(self, now_ms: int, waiting: Waiting) -> None:
+    def _note_silence(self, now_ms: int, waiting: UnansweredOpening) -> None:
         key = waiting.flow
         record = self._tables.flows.get(key)
         if record is not waiting.record or record.state is not flow.State.OPENING:
@@ -341,7 +343,7 @@
         if (
             owner is None
             or record.first_packet is None
-            or not self._pending.mine(key, owner)
+            or not self._pending.is_home(key, owner)
         ):
             return
         self._open_again(now_ms, key, owner, record, record.first_packet)
@@ -360,11 +362,13 @@
         targets go, that second is what their callers notice. Only the SYN was
         sent so far, and this home drops a late SYN-ACK of the former target.
         """
-        if now_ms - record.opened_ms >= REPEAT_MS:
+        if now_ms - record.opened_ms >= SYN_REPEAT_WINDOW_MS:
             return
-        silent = self.silent(now_ms, record)
+        silent = self.should_retry(now_ms, record)
         if not (silent and self.move(now_ms, key, owner, record)):
-            self._opening.append(Waiting(now_ms + health.ANSWER_MS, key, record))
+            self._opening.append(
+                UnansweredOpening(now_ms + health.ANSWER_MS, key, record)
+            )
         self._send(record.target, first)
 
     def _send(self, chosen: target.Target, item: packet.Packet) -> None:
--- a/eelgrasswick/homes/pending.py
+++ b/eelgrasswick/homes/pending.py
@@ -18,14 +18,14 @@
 from eelgrasswick.homes import tables
 
 
-class Held(typing.NamedTuple):
+class WaitingPacket(typing.NamedTuple):
     """An opening packet that waits."""
 
     packet: packet.Packet
     flow: packet.FlowKey
 
 
-Queue = waiting.Queue[Held]
+Queue = waiting.Queue[WaitingPacket]
 
 
 class Pending:
@@ -43,7 +43,7 @@
         known.wait_ms = owner.wait_ms
         return known
 
-    def names(self) -> list[str]:
+    def waiting_services(self) -> list[str]:
         """Return the services in which flows wait."""
         return [name for name, known in self._queues.items() if len(known)]
 
@@ -51,9 +51,9 @@
         self, now_ms: int, item: packet.Packet, key: packet.FlowKey, queue: Queue
     ) -> admission.Refusal | None:
         """Let a flow wait, or tell why it may not."""
-        return queue.offer(now_ms, key.packed, key.caller_ip, Held(item, key))
+        return queue.offer(now_ms, key.packed, key.caller_ip, WaitingPacket(item, key))
 
-    def holds(self, item: packet.Packet, key: packet.FlowKey) -> bool:
+    def take_if_waiting(self, item: packet.Packet, key: packet.FlowKey) -> bool:
         """Take a packet of a flow that waits; False when it does not wait.
 
         A repeated SYN changes nothing. A RST or FIN tells that the caller has
@@ -78,7 +78,7 @@
         for queue in self._queues.values():
             queue.cancel(flow)
 
-    def mine(self, key: packet.FlowKey, owner: service.Service) -> bool:
+    def is_home(self, key: packet.FlowKey, owner: service.Service) -> bool:
         """Tell whether this VM still decides about a flow."""
         current = self._tables.epochs.current
         return current is not None and current.locate(key, owner).home == self._name
--- a/eelgrasswick/homes/rehome.py
+++ b/eelgrasswick/homes/rehome.py
@@ -11,7 +11,7 @@
     tables,
 )
 
-SLICE: typing.Final = 1000
+FLOWS_PER_TICK: typing.Final = 1000
 
 
 class Rehomer:
@@ -32,12 +32,12 @@
     def start(self) -> None:
         """Begin anew, because homes may have changed."""
         records = [key for key, _ in self._tables.flows.items()]
-        kept = [key for key, _ in self._tables.replicator.kept.items()]
+        kept = [key for key, _ in self._tables.replicator.copies.items()]
         self._waiting = iter(records + kept)
 
     def step(self, now_ms: int) -> None:
         """Go through one slice."""
-        for _ in range(SLICE):
+        for _ in range(FLOWS_PER_TICK):
             key = next(self._waiting, None)
             if key is None:
                 return
@@ -46,7 +46,7 @@
     def _one(self, now_ms: int, key: packet.FlowKey) -> None:
         shared = self._tables
         record = shared.flows.get(key)
-        kept = shared.replicator.kept.get(now_ms, key)
+        kept = shared.replicator.copies.get(now_ms, key)
         known = record.target if record is not None else kept
         current = shared.epochs.current
         if known is None or current is None:
@@ -78,9 +78,9 @@
     ) -> None:
         replicator = self._tables.replicator
         if to_home is not None and to_home != self._name:
-            replicator.hand_over(to_home, key, known)
+            replicator.queue_handover(to_home, key, known)
         elif to_backup is not None and to_backup != self._name:
-            replicator.keep(to_backup, key, known)
+            replicator.queue_copy(to_backup, key, known)
 
 
 def _certain(record: flow.Record) -> bool:
--- a/eelgrasswick/homes/replica.py
+++ b/eelgrasswick/homes/replica.py
@@ -16,8 +16,8 @@
 from eelgrasswick.fleet import peer
 from eelgrasswick.homes import hint
 
-KEEP_MS: typing.Final = 3_600_000
-KEEP_FLOWS: typing.Final = 500_000
+COPY_TTL_MS: typing.Final = 3_600_000
+MAX_COPIES: typing.Final = 500_000
 BATCH_FLOWS: typing.Final = 500
 BATCHES_PER_TICK: typing.Final = 8
 
@@ -29,38 +29,40 @@
         """Start with nothing kept and nothing to send."""
         self._peers = peers
         self._outbox = outbox
-        self.kept = hint.HintTable(KEEP_MS, KEEP_FLOWS)
-        self._keep: dict[str, dict[bytes, str]] = {}
-        self._handover: dict[str, dict[bytes, str]] = {}
-        self._forget: dict[str, set[bytes]] = {}
+        self.copies = hint.HintTable(COPY_TTL_MS, MAX_COPIES)
+        self._copies_to_send: dict[str, dict[bytes, str]] = {}
+        self._handovers: dict[str, dict[bytes, str]] = {}
+        self._removals: dict[str, set[bytes]] = {}
 
     @property
     def idle(self) -> bool:
         """True when nothing waits to be sent."""
-        return not (self._keep or self._handover or self._forget)
+        return not (self._copies_to_send or self._handovers or self._removals)
 
     def clear(self) -> None:
         """Drop what is kept for others and what waits to be sent."""
-        self.kept.clear()
-        self._keep.clear()
-        self._handover.clear()
-        self._forget.clear()
+        self.copies.clear()
+        self._copies_to_send.clear()
+        self._handovers.clear()
+        self._removals.clear()
 
-    def keep(self, receiver: str, flow: packet.FlowKey, chosen: target.Target) -> None:
+    def queue_copy(
+        self, receiver: str, flow: packet.FlowKey, chosen: target.Target
+    ) -> None:
         """Have a backup keep an exception."""
-        self._keep.setdefault(receiver, {})[flow.packed] = chosen.name
+        self._copies_to_send.setdefault(receiver, {})[flow.packed] = chosen.name
 
-    def forget(self, receiver: str, flow: packet.FlowKey) -> None:
+    def queue_removal(self, receiver: str, flow: packet.FlowKey) -> None:
         """Tell a backup that a flow has ended."""
         packed = flow.packed
-        if self._keep.get(receiver, {}).pop(packed, None) is None:
-            self._forget.setdefault(receiver, set()).add(packed)
+        if self._copies_to_send.get(receiver, {}).pop(packed, None) is None:
+            self._removals.setdefault(receiver, set()).add(packed)
 
-    def hand_over(
+    def queue_handover(
         self, receiver: str, flow: packet.FlowKey, chosen: target.Target
     ) -> None:
         """Tell the new home of a flow where the flow is."""
-        self._handover.setdefault(receiver, {})[flow.packed] = chosen.name
+        self._handovers.setdefault(receiver, {})[flow.packed] = chosen.name
 
     def flush(self) -> None:
         """Send some of what waits; called once a tick.
@@ -70,15 +72,15 @@
         dead, so each tick sends a bounded number of batches.
         """
         budget = BATCHES_PER_TICK
-        budget = self._flush_placed(self._handover, wire.Handover, budget)
-        budget = self._flush_placed(self._keep, wire.Keep, budget)
-        while budget and self._forget:
-            receiver, flows = next(iter(self._forget.items()))
+        budget = self._flush_placed(self._handovers, wire.Handover, budget)
+        budget = self._flush_placed(self._copies_to_send, wire.Keep, budget)
+        while budget and self._removals:
+            receiver, flows = next(iter(self._removals.items()))
             batch = tuple(flows)[:BATCH_FLOWS]
             self._peers.send_link(receiver, wire.Forget(batch))
             flows.difference_update(batch)
             if not flows:
-                del self._forget[receiver]
+                del self._removals[receiver]
             budget -= 1
 
     def _flush_placed(
--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -88,14 +88,14 @@
     ) -> None:
         """Take a former home's answer."""
         key = wire.flow_key(event.flow)
-        self._home.tell(now_ms, sender, key, event.target)
+        self._home.take_response(now_ms, sender, key, event.target)
 
     def _known(self, now_ms: int, key: packet.FlowKey) -> target.Target | None:
         record = self._tables.flows.get(key)
         if record is not None and record.is_active and record.origin.value != "guessed":
             return record.target
         hint = self._tables.hints.get(now_ms, key)
-        return hint or self._tables.replicator.kept.get(now_ms, key)
+        return hint or self._tables.replicator.copies.get(now_ms, key)
 
     def _decode(self, payload: bytes) -> packet.Packet | None:
         try:
@@ -184,7 +184,7 @@
         if record is None:
             self._tables.hints.learn(now_ms, key, sender)
         else:
-            self._home.correct(key, sender)
+            self._home.confirm_target(key, sender)
         self._tables.outbox.put(message.SendFabric(item.raw))
 
     def _answer_control(
--- a/tests/test_emptiness.py
+++ b/tests/test_emptiness.py
@@ -42,7 +42,7 @@
     small_world.run(5000)
     assert small_world.targets[name].open_flows
     assert trail(small_world) == []
-    small_world.run(emptiness.SURE_MS + 15_000)
+    small_world.run(emptiness.EMPTY_CONFIRM_MS + 15_000)
     assert small_world.targets[name].open_flows == 0
     entries = trail(small_world)
     assert [item.lines for item in entries] == [
@@ -59,7 +59,7 @@
     drain_busiest(small_world, rules_text)
     small_world.run(1000)
     small_world.platform.set_faults(emulated_platform.Faults(outage=True))
-    small_world.run(emptiness.SURE_MS + 15_000)
+    small_world.run(emptiness.EMPTY_CONFIRM_MS + 15_000)
     assert trail(small_world) == []
     small_world.platform.set_faults(emulated_platform.Faults())
     small_world.run(8000)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -18,7 +18,7 @@
     made: world.World, name: str, question: wire.ExplainFlow | wire.ExplainTarget
 ) -> dict[str, str]:
     """Return the facts that one VM gives."""
-    answer = made.vms[name].engine._explainer.answer(made.now_ms, question)
+    answer = made.vms[name].engine._explainer.explain(made.now_ms, question)
     assert wire.decode(wire.encode(answer)) == answer
     return {fact.key: fact.value for fact in answer.facts}
 
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -17,7 +17,7 @@
     assert tables.epochs.current is not None
     config = tables.epochs.current.config
     key = flow_steps.flow_key(config.services["desk"], port)
-    tables.replicator.kept.learn(bench.world.now_ms, key, config.targets["d6"])
+    tables.replicator.copies.learn(bench.world.now_ms, key, config.targets["d6"])
     bench.world.call("desk", caller=0, port=port)
     bench.world.run(5000)
     assert bench.world.ends() == {"whole": 1}
--- a/tests/test_opener.py
+++ b/tests/test_opener.py
@@ -70,7 +70,7 @@
     vm.engine.home.request(
         slow_world.now_ms, packet.FouCodec().decode(reset), key, owner(vm)
     )
-    assert not vm.engine.opener.holds(packet.FouCodec().decode(reset), key)
+    assert not vm.engine.opener.take_if_waiting(packet.FouCodec().decode(reset), key)
     assert vm.engine.tables.flows.get(key) is None
     assert vm.engine.outbox.counts[message.Counter.FLOWS_PLACED] == placed
 
