--- a/eelgrasswick/homes/emptiness.py
+++ b/eelgrasswick/homes/emptiness.py
@@ -18,12 +18,12 @@
 
 
 class _Leaving:
-    __slots__ = ("empty_ms", "noted", "sequence")
+    __slots__ = ("empty_ms", "recorded", "sequence")
 
     def __init__(self, sequence: int) -> None:
         self.sequence = sequence
         self.empty_ms: int | None = None
-        self.noted = False
+        self.recorded = False
 
 
 class EmptyTargets:
@@ -56,11 +56,11 @@
             if item.accepts:
                 self._leaving.pop(item.name, None)
             else:
-                self._look(now_ms, item, current.config.sequence)
+                self._check_target(now_ms, item, current.config.sequence)
         if watching and self._tables.loads.heard_from(others):
-            self._note(now_ms, me, current.zones, len(others) + 1)
+            self._record_empty(now_ms, me, current.zones, len(others) + 1)
 
-    def _look(self, now_ms: int, item: target.Target, sequence: int) -> None:
+    def _check_target(self, now_ms: int, item: target.Target, sequence: int) -> None:
         known = self._leaving.setdefault(item.name, _Leaving(sequence))
         here = self._tables.flows.open_by_target[item.name]
         if here + self._tables.loads.elsewhere(item.name):
@@ -69,7 +69,7 @@
             known.empty_ms = now_ms
             self._tables.outbox.put(message.log("target_empty", target=item.name))
 
-    def _note(
+    def _record_empty(
         self, now_ms: int, me: member.Member, zones: frozenset[str], homes: int
     ) -> None:
         # For a moment after a home died its flows are counted nowhere. Written
@@ -79,11 +79,11 @@
         assert current is not None
         for name, known in self._leaving.items():
             item = current.config.targets.get(name)
-            if item is None or known.noted or known.empty_ms is None:
+            if item is None or known.recorded or known.empty_ms is None:
                 continue
             own = item.zone == me.zone or item.zone not in zones
             if own and now_ms - known.empty_ms >= EMPTY_CONFIRM_MS:
-                known.noted = True
+                known.recorded = True
                 self._tables.outbox.put(
                     message.RecordEmpty(name, known.sequence, known.empty_ms, homes)
                 )
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -106,10 +106,10 @@
         """
         paused_ms = self.membership.check_pause(now_ms)
         if paused_ms:
-            self._wake(now_ms, paused_ms)
+            self._resume(now_ms, paused_ms)
         match event:
             case message.FabricDatagram():
-                if not self._outdated(now_ms):
+                if not self._discards_packet(now_ms):
                     self.switch.datagram(now_ms, event)
             case message.PeerDatagram():
                 self._peer_datagram(now_ms, event)
@@ -125,10 +125,10 @@
                 self._tick(now_ms)
             case message.Leave():
                 self.membership.leave(now_ms)
-        self._follow(now_ms)
+        self._apply_changes(now_ms)
         return self.outbox.take()
 
-    def _wake(self, now_ms: int, paused_ms: int) -> None:
+    def _resume(self, now_ms: int, paused_ms: int) -> None:
         # After a pause the sockets hold packets as old as the pause. Callers
         # have repeated them to VMs that took over, perhaps under other rules;
         # sent on, an old copy could start the same request on a second target.
@@ -142,9 +142,9 @@
             self.tables.hints.clear()
             self.tables.replicator.clear()
             self.home.clear()
-        self._follow(now_ms)
+        self._apply_changes(now_ms)
 
-    def _outdated(self, now_ms: int) -> bool:
+    def _discards_packet(self, now_ms: int) -> bool:
         if now_ms >= self._discard_until_ms:
             return False
         self.outbox.count(message.Counter.PACKETS_OUTDATED)
@@ -154,29 +154,29 @@
         try:
             self._peer_message(now_ms, event.source, wire.decode(event.payload))
         except errors.MessageInvalidError as error:
-            self._invalid(str(event.source), error)
+            self._drop_message(str(event.source), error)
 
     def _peer_message(
         self, now_ms: int, source: packet.Address, item: wire.PeerMessage
     ) -> None:
         if isinstance(item, wire.Ping):
             self.membership.ping(now_ms, source, item)
-            self._heard(now_ms, item)
+            self._record_peer_sequence(now_ms, item)
             return
         sender = self.peers.name_at(source)
         if isinstance(item, wire.Ack):
             self.membership.ack(now_ms, item)
-            self._heard(now_ms, item)
+            self._record_peer_sequence(now_ms, item)
             return
         if sender is None:
-            self._stranger(now_ms, source, item)
+            self._handle_unknown_sender(now_ms, source, item)
             return
         match item:
             case wire.Forward():
-                if not self._outdated(now_ms):
+                if not self._discards_packet(now_ms):
                     self.switch.forward(now_ms, item)
             case wire.Relay():
-                if not self._outdated(now_ms):
+                if not self._discards_packet(now_ms):
                     self.switch.relay(now_ms, item)
             case wire.Ask():
                 self.switch.handle_inquiry(now_ms, sender, item)
@@ -187,11 +187,11 @@
             case _:
                 raise errors.MessageInvalidError("message belongs on a link")
 
-    def _heard(self, now_ms: int, item: wire.Ping | wire.Ack) -> None:
+    def _record_peer_sequence(self, now_ms: int, item: wire.Ping | wire.Ack) -> None:
         self.keeper.heard(now_ms, item.sender.name, item.sequence)
         self.tables.epochs.note_sequence(item.sequence)
 
-    def _stranger(
+    def _handle_unknown_sender(
         self, now_ms: int, source: packet.Address, item: wire.PeerMessage
     ) -> None:
         # Operators' commands speak from machines that are no VM of the fleet.
@@ -204,18 +204,18 @@
         try:
             self._link_message(now_ms, event.sender, wire.decode(event.payload))
         except errors.MessageInvalidError as error:
-            self._invalid(event.sender, error)
+            self._drop_message(event.sender, error)
 
     def _link_message(self, now_ms: int, sender: str, item: wire.PeerMessage) -> None:
         match item:
             case wire.Keep():
-                if not self._outdated(now_ms):
-                    self._keep(now_ms, item)
+                if not self._discards_packet(now_ms):
+                    self._store_copies(now_ms, item)
             case wire.Forget():
                 for packed in item.flows:
                     self.tables.replicator.copies.remove(wire.flow_key(packed))
             case wire.Handover():
-                if not self._outdated(now_ms):
+                if not self._discards_packet(now_ms):
                     self._handover(now_ms, item)
             case wire.LoadReport():
                 self.tables.loads.take(now_ms, sender, item)
@@ -226,7 +226,7 @@
             case _:
                 raise errors.MessageInvalidError("message does not belong on a link")
 
-    def _invalid(self, sender: str, error: errors.MessageInvalidError) -> None:
+    def _drop_message(self, sender: str, error: errors.MessageInvalidError) -> None:
         self.outbox.count(message.Counter.MESSAGES_INVALID)
         self.outbox.put(
             message.log(
@@ -237,7 +237,7 @@
             )
         )
 
-    def _keep(self, now_ms: int, item: wire.Keep) -> None:
+    def _store_copies(self, now_ms: int, item: wire.Keep) -> None:
         for entry in item.entries:
             known = self._target(entry.target)
             if known is not None:
@@ -302,7 +302,7 @@
         for name in serving:
             self.peers.send_link(name, report)
 
-    def _follow(self, now_ms: int) -> None:
+    def _apply_changes(self, now_ms: int) -> None:
         if not (self.membership.changed or self.keeper.changed):
             return
         announce = self.keeper.changed
@@ -325,12 +325,12 @@
             return
         self.tables.epochs.advance(now_ms, epoch.Epoch(current, members))
         self.home.end_delegations()
-        self._note_return(now_ms, before, members)
+        self._add_epoch_of_returned(now_ms, before, members)
         if before.config is not current:
-            self._revise(before.config, current)
+            self._update_targets(before.config, current)
         self.rehomer.start()
 
-    def _note_return(
+    def _add_epoch_of_returned(
         self,
         now_ms: int,
         before: epoch.Epoch,
@@ -343,7 +343,7 @@
         if back:
             self.tables.epochs.add_earlier(now_ms, epoch.Epoch(before.config, back))
 
-    def _revise(self, before: config.Config, after: config.Config) -> None:
+    def _update_targets(self, before: config.Config, after: config.Config) -> None:
         changed = {
             name
             for name, item in before.targets.items()
@@ -351,12 +351,12 @@
         }
         if not changed:
             return
-        self.tables.hints.update_targets(self._present)
-        self.tables.replicator.copies.update_targets(self._present)
+        self.tables.hints.update_targets(self._unchanged_target)
+        self.tables.replicator.copies.update_targets(self._unchanged_target)
         for key, record in self.tables.flows.items():
             if record.target.name not in changed:
                 continue
-            present = self._present(record.target)
+            present = self._unchanged_target(record.target)
             if present is None:
                 # The target is gone for good, or its address serves another
                 # service now. No packet of the flow may go there any more.
@@ -367,7 +367,7 @@
             else:
                 self.tables.flows.move(key, record, present)
 
-    def _present(self, item: target.Target) -> target.Target | None:
+    def _unchanged_target(self, item: target.Target) -> target.Target | None:
         present = self._target(item.name)
         if present is None or present.endpoint != item.endpoint:
             return None
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -97,7 +97,7 @@
         facts["default_target"] = default
         facts.update(self._vm("home", place.home))
         facts.update(self._vm("backup", place.backup))
-        facts.update(self._knowledge(now_ms, key))
+        facts.update(self._sources(now_ms, key))
         record = self._tables.flows.get(key)
         if record is not None:
             facts["origin"] = record.origin.value
@@ -107,7 +107,7 @@
         facts["reason"] = _reason(facts, owner, self._fleet.me.name)
         return facts
 
-    def _knowledge(self, now_ms: int, key: packet.FlowKey) -> dict[str, str]:
+    def _sources(self, now_ms: int, key: packet.FlowKey) -> dict[str, str]:
         record = self._tables.flows.get(key)
         sources = {
             "record": record.target if record is not None else None,
@@ -119,9 +119,9 @@
             facts[name] = known.name if known is not None else NONE
         for known in sources.values():
             if known is not None:
-                facts["draining"] = _word(not known.accepts)
+                facts["draining"] = _yes_no(not known.accepts)
                 suspected = self._tables.health.suspected(now_ms, known.name)
-                facts["suspected"] = _word(suspected)
+                facts["suspected"] = _yes_no(suspected)
                 break
         return facts
 
@@ -138,9 +138,9 @@
         known = current.config.targets.get(name) if current is not None else None
         if known is None:
             return {**facts, "reason": "no rule names this target"}
-        facts.update(_rule_of(known))
+        facts.update(_rule_facts(known))
         suspected = self._tables.health.suspected(now_ms, name)
-        facts["suspected"] = _word(suspected)
+        facts["suspected"] = _yes_no(suspected)
         here = self._tables.flows.open_by_target[name]
         elsewhere = self._tables.loads.elsewhere(name)
         facts["open_here"] = str(here)
@@ -149,7 +149,7 @@
         return facts
 
 
-def _rule_of(known: target.Target) -> dict[str, str]:
+def _rule_facts(known: target.Target) -> dict[str, str]:
     return {
         "service": known.service,
         "endpoint": str(known.endpoint),
@@ -157,8 +157,8 @@
         "slots": str(known.slots),
         "connections": str(known.connections),
         "weight": str(known.weight),
-        "draining": _word(known.draining),
-        "retired": _word(known.retired),
+        "draining": _yes_no(known.draining),
+        "retired": _yes_no(known.retired),
     }
 
 
@@ -190,5 +190,5 @@
     )
 
 
-def _word(value: bool) -> str:
+def _yes_no(value: bool) -> str:
     return "yes" if value else "no"
--- a/eelgrasswick/homes/home.py
+++ b/eelgrasswick/homes/home.py
@@ -160,7 +160,7 @@
             record.origin = flow.Origin.GUESSED
         if record.origin is flow.Origin.GUESSED:
             record.first_packet = item
-        self._send(record.target, item)
+        self._send_to_target(record.target, item)
         if item.resets:
             self._close(arrival, record)
         elif item.finishes:
@@ -180,7 +180,7 @@
             # answer late, the home drops its SYN-ACK as a stray. Without this
             # a caller would wait for a dead target until it gives up.
             self._opener.move(now_ms, key, owner, record)
-        self._send(record.target, item)
+        self._send_to_target(record.target, item)
 
     def _unknown(self, arrival: _Arrival) -> None:
         now_ms, item, key, owner = arrival
@@ -301,7 +301,7 @@
             if self._guesser.try_next_target(key, owner, record):
                 self._tables.outbox.count(_COUNT.RESETS_HELD_BACK)
             else:
-                self._pass(item)
+                self._send_to_caller(item)
                 self._close(arrival, record)
             return
         opening = record.state is flow.State.OPENING
@@ -309,9 +309,9 @@
             # The target shed the flow before any work, so another may take it.
             self._tables.health.unanswered(now_ms, record.target.name)
             if self._opener.move(now_ms, key, owner, record):
-                self._send(record.target, record.first_packet)
+                self._send_to_target(record.target, record.first_packet)
                 return
-        self._pass(item)
+        self._send_to_caller(item)
         self._close(arrival, record, reset=True)
 
     def _answer_known(self, arrival: _Arrival, record: flow.Record) -> None:
@@ -326,7 +326,7 @@
         elif record.origin is flow.Origin.GUESSED:
             record.origin = flow.Origin.LEARNED
             record.first_packet = None
-        self._pass(item)
+        self._send_to_caller(item)
         if item.finishes:
             record.target_finished = True
             self._close_if_done(arrival, record)
@@ -361,8 +361,8 @@
             assert place.backup is not None
             self._tables.replicator.queue_removal(place.backup, key)
 
-    def _send(self, chosen: target.Target, item: packet.Packet) -> None:
+    def _send_to_target(self, chosen: target.Target, item: packet.Packet) -> None:
         self._tables.outbox.put(message.SendDatagram(chosen.endpoint, item.raw))
 
-    def _pass(self, item: packet.Packet) -> None:
+    def _send_to_caller(self, item: packet.Packet) -> None:
         self._tables.outbox.put(message.SendFabric(item.raw))
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -258,7 +258,7 @@
         self._tables.outbox.count(_COUNT.FLOWS_PLACED)
         exception = self.replicate(key, owner, chosen)
         self.chooser.begin(now_ms, key.packed, chosen.name, exception)
-        self._send(chosen, item)
+        self._send_to_target(chosen, item)
 
     def move(
         self,
@@ -369,9 +369,9 @@
             self._opening.append(
                 UnansweredOpening(now_ms + health.ANSWER_MS, key, record)
             )
-        self._send(record.target, first)
+        self._send_to_target(record.target, first)
 
-    def _send(self, chosen: target.Target, item: packet.Packet) -> None:
+    def _send_to_target(self, chosen: target.Target, item: packet.Packet) -> None:
         self._tables.outbox.put(message.SendDatagram(chosen.endpoint, item.raw))
 
 
--- a/eelgrasswick/homes/rehome.py
+++ b/eelgrasswick/homes/rehome.py
@@ -41,9 +41,9 @@
             key = next(self._waiting, None)
             if key is None:
                 return
-            self._one(now_ms, key)
+            self._rehome(now_ms, key)
 
-    def _one(self, now_ms: int, key: packet.FlowKey) -> None:
+    def _rehome(self, now_ms: int, key: packet.FlowKey) -> None:
         shared = self._tables
         record = shared.flows.get(key)
         kept = shared.replicator.copies.get(now_ms, key)
--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -51,15 +51,15 @@
             return
         sender = current.config.target_at(event.source)
         if sender is None:
-            self._request(now_ms, item, 0)
+            self._handle_caller_packet(now_ms, item, 0)
         else:
-            self._answer(now_ms, item, sender)
+            self._handle_target_packet(now_ms, item, sender)
 
     def forward(self, now_ms: int, event: wire.Forward) -> None:
         """Handle a caller's packet that another VM passed on."""
         item = self._decode(event.packet)
         if item is not None and self._tables.epochs.current is not None:
-            self._request(now_ms, item, event.hops)
+            self._handle_caller_packet(now_ms, item, event.hops)
 
     def relay(self, now_ms: int, event: wire.Relay) -> None:
         """Handle a target's control packet that another VM passed on."""
@@ -71,13 +71,13 @@
         if sender is None:
             self._tables.outbox.count(_COUNT.PACKETS_UNKNOWN_SENDER)
             return
-        self._answer_control(now_ms, item, sender, event.hops)
+        self._handle_target_control(now_ms, item, sender, event.hops)
 
     def handle_inquiry(self, now_ms: int, sender: str, event: wire.Ask) -> None:
         """Answer the present home of a flow that this VM may know."""
         key = wire.flow_key(event.flow)
         self._home.cancel(key)
-        known = self._known(now_ms, key)
+        known = self._known_target(now_ms, key)
         if known is None and not self._home.delegate_to(now_ms, key, sender):
             return
         name = known.name if known is not None else ""
@@ -90,7 +90,7 @@
         key = wire.flow_key(event.flow)
         self._home.take_response(now_ms, sender, key, event.target)
 
-    def _known(self, now_ms: int, key: packet.FlowKey) -> target.Target | None:
+    def _known_target(self, now_ms: int, key: packet.FlowKey) -> target.Target | None:
         record = self._tables.flows.get(key)
         if record is not None and record.is_active and record.origin.value != "guessed":
             return record.target
@@ -112,7 +112,9 @@
             )
             return None
 
-    def _request(self, now_ms: int, item: packet.Packet, hops: int) -> None:
+    def _handle_caller_packet(
+        self, now_ms: int, item: packet.Packet, hops: int
+    ) -> None:
         self._tables.outbox.count(_COUNT.PACKETS_REQUEST)
         key = item.request_key()
         current = self._tables.epochs.current
@@ -123,15 +125,15 @@
         if owner is None:
             self._no_service(item, current)
             return
-        if not item.controls and self._direct(now_ms, item, key):
+        if not item.controls and self._send_by_hint(now_ms, item, key):
             return
-        receiver = self._receiver(now_ms, current, key, owner)
+        receiver = self._deciding_vm(now_ms, current, key, owner)
         if receiver == self._name or (hops and self._tables.flows.get(key)):
             self._home.request(now_ms, item, key, owner)
         else:
-            self._pass_on(receiver, wire.Forward(hops + 1, item.raw))
+            self._send_to_vm(receiver, wire.Forward(hops + 1, item.raw))
 
-    def _receiver(
+    def _deciding_vm(
         self,
         now_ms: int,
         current: epoch.Epoch,
@@ -143,7 +145,9 @@
             return home_name
         return self._home.delegate_of(now_ms, key) or home_name
 
-    def _direct(self, now_ms: int, item: packet.Packet, key: packet.FlowKey) -> bool:
+    def _send_by_hint(
+        self, now_ms: int, item: packet.Packet, key: packet.FlowKey
+    ) -> bool:
         if self._tables.flows.get(key) is not None:
             return False
         known = self._tables.hints.get(now_ms, key)
@@ -152,7 +156,9 @@
         self._tables.outbox.put(message.SendDatagram(known.endpoint, item.raw))
         return True
 
-    def _pass_on(self, receiver: str | None, item: wire.Forward | wire.Relay) -> None:
+    def _send_to_vm(
+        self, receiver: str | None, item: wire.Forward | wire.Relay
+    ) -> None:
         outbox = self._tables.outbox
         if receiver is None:
             outbox.count(_COUNT.PACKETS_NO_HOME)
@@ -171,11 +177,13 @@
             refusal = packet.build_refusal(item, kind, NO_SERVICE_RETRY_MS)
             outbox.put(message.SendFabric(refusal))
 
-    def _answer(self, now_ms: int, item: packet.Packet, sender: target.Target) -> None:
+    def _handle_target_packet(
+        self, now_ms: int, item: packet.Packet, sender: target.Target
+    ) -> None:
         if item.controls:
-            self._answer_control(now_ms, item, sender, 0)
+            self._handle_target_control(now_ms, item, sender, 0)
             return
-        owner = self._owner(item, sender)
+        owner = self._service_of(item, sender)
         if owner is None:
             return
         self._tables.outbox.count(_COUNT.PACKETS_ANSWER)
@@ -187,22 +195,22 @@
             self._home.confirm_target(key, sender)
         self._tables.outbox.put(message.SendFabric(item.raw))
 
-    def _answer_control(
+    def _handle_target_control(
         self, now_ms: int, item: packet.Packet, sender: target.Target, hops: int
     ) -> None:
-        owner = self._owner(item, sender)
+        owner = self._service_of(item, sender)
         current = self._tables.epochs.current
         if owner is None or current is None:
             return
         key = item.answer_key()
-        receiver = self._receiver(now_ms, current, key, owner)
+        receiver = self._deciding_vm(now_ms, current, key, owner)
         here = self._tables.flows.get(key) is not None
         if receiver == self._name or (hops and here):
             self._home.answer(now_ms, item, key, sender, owner)
         else:
-            self._pass_on(receiver, wire.Relay(hops + 1, sender.name, item.raw))
+            self._send_to_vm(receiver, wire.Relay(hops + 1, sender.name, item.raw))
 
-    def _owner(
+    def _service_of(
         self, item: packet.Packet, sender: target.Target
     ) -> service.Service | None:
         # A target speaks for its own service only. Let through, an answer of a
