--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -251,14 +251,18 @@
         for entry in item.entries:
             known = self._target(entry.target)
             key = wire.flow_key(entry.flow)
-            owner = current.config.service_at(
+            flow_service = current.config.service_at(
                 key.protocol, key.service_ip, key.service_port
             )
-            if known is None or owner is None or known.service != owner.name:
+            if (
+                known is None
+                or flow_service is None
+                or known.service != flow_service.name
+            ):
                 continue
             record = self.tables.flows.get(key)
             if record is None or record.origin is flow.Origin.GUESSED:
-                self.home.learn(now_ms, key, owner, known)
+                self.home.learn(now_ms, key, flow_service, known)
 
     def _target(self, name: str) -> target.Target | None:
         current = self.tables.epochs.current
--- a/eelgrasswick/homes/epoch.py
+++ b/eelgrasswick/homes/epoch.py
@@ -97,24 +97,24 @@
         here = {(item.name, item.zone, item.size) for item in self.members.values()}
         return here == {(item.name, item.zone, item.size) for item in members}
 
-    def locate(self, flow: packet.FlowKey, owner: service.Service) -> Location:
+    def locate(self, flow: packet.FlowKey, flow_service: service.Service) -> Location:
         """Tell where a flow to a service belongs."""
         key = flow.packed
-        chosen = rendezvous.best(key, self._candidates(owner.name))
+        chosen = rendezvous.best(key, self._candidates(flow_service.name))
         default = self.config.targets[chosen] if chosen is not None else None
         zone = default.zone if default is not None else ""
         owners = self._owners_of(zone, rendezvous.digest(key))
         return Location(default, owners.home, owners.backup)
 
     def ranked(
-        self, flow: packet.FlowKey, owner: service.Service
+        self, flow: packet.FlowKey, flow_service: service.Service
     ) -> list[target.Target]:
         """Return the targets that take new flows, the default in front."""
-        names = rendezvous.ranked(flow.packed, self._candidates(owner.name))
+        names = rendezvous.ranked(flow.packed, self._candidates(flow_service.name))
         return [self.config.targets[name] for name in names]
 
     def ranked_all(
-        self, flow: packet.FlowKey, owner: service.Service
+        self, flow: packet.FlowKey, flow_service: service.Service
     ) -> list[target.Target]:
         """Return all targets, also those that take no new flow, in hash order.
 
@@ -122,7 +122,8 @@
         the drain is left out.
         """
         entries = [
-            rendezvous.candidate(item.name, item.weight) for item in owner.targets
+            rendezvous.candidate(item.name, item.weight)
+            for item in flow_service.targets
         ]
         names = rendezvous.ranked(flow.packed, entries)
         return [self.config.targets[name] for name in names]
@@ -275,14 +276,14 @@
         self._earlier.appendleft(_Earlier(epoch, now_ms))
 
     def earlier_owners(
-        self, now_ms: int, flow: packet.FlowKey, owner: service.Service
+        self, now_ms: int, flow: packet.FlowKey, flow_service: service.Service
     ) -> list[str]:
         """Return VMs other than the present home that may know the flow.
 
         Args:
             now_ms: Present time in milliseconds.
             flow: The flow.
-            owner: Its service.
+            flow_service: Its service.
 
         Returns:
             Names of homes and backups under the epochs that ended within the
@@ -292,7 +293,7 @@
         for item in self._earlier:
             if now_ms - item.ended_ms > self._window_ms:
                 break
-            known = item.epoch.config.services.get(owner.name)
+            known = item.epoch.config.services.get(flow_service.name)
             if known is None:
                 continue
             place = item.epoch.locate(flow, known)
@@ -300,7 +301,7 @@
         return [name for name in names if name]
 
     def recent_defaults(
-        self, now_ms: int, flow: packet.FlowKey, owner: service.Service
+        self, now_ms: int, flow: packet.FlowKey, flow_service: service.Service
     ) -> list[target.Target]:
         """Return default targets of a flow within the window, newest first."""
         assert self.current is not None
@@ -311,14 +312,14 @@
         ]
         found: dict[str, target.Target] = {}
         for epoch in (self.current, *recent):
-            known = epoch.config.services.get(owner.name)
+            known = epoch.config.services.get(flow_service.name)
             default = epoch.locate(flow, known).default if known is not None else None
             if default is not None:
                 found.setdefault(default.name, default)
         return list(found.values())
 
     def possible_targets(
-        self, flow: packet.FlowKey, owner: service.Service
+        self, flow: packet.FlowKey, flow_service: service.Service
     ) -> list[target.Target]:
         """Return default targets of the flow, newest configuration first.
 
@@ -329,7 +330,7 @@
         epochs += self._by_config
         found: dict[str, target.Target] = {}
         for item in epochs:
-            known = item.config.services.get(owner.name)
+            known = item.config.services.get(flow_service.name)
             if known is None:
                 continue
             default = item.locate(flow, known).default
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -37,10 +37,10 @@
         ValueError: The text has another form.
     """
     name, _, rest = text.partition("/")
-    caller, separator, owner = rest.partition(">")
+    caller, separator, served = rest.partition(">")
     if name not in _PROTOCOLS or not separator:
         raise ValueError(f"{text!r} is not like tcp/10.9.0.1:4000>10.1.0.1:443")
-    source, destination = packet.address(caller), packet.address(owner)
+    source, destination = packet.address(caller), packet.address(served)
     return packet.FlowKey(_PROTOCOLS[name], *source, *destination)
 
 
@@ -86,14 +86,14 @@
         current = self._tables.epochs.current
         if current is None:
             return {**facts, "reason": "this VM has no configuration yet"}
-        owner = current.config.service_at(
+        flow_service = current.config.service_at(
             key.protocol, key.service_ip, key.service_port
         )
-        if owner is None:
+        if flow_service is None:
             return {**facts, "reason": "no rule names this address"}
-        place = current.locate(key, owner)
+        place = current.locate(key, flow_service)
         default = place.default.name if place.default is not None else NONE
-        facts["service"] = owner.name
+        facts["service"] = flow_service.name
         facts["default_target"] = default
         facts.update(self._vm("home", place.home))
         facts.update(self._vm("backup", place.backup))
@@ -104,7 +104,7 @@
             facts["flow_state"] = record.state.value
             facts["known_for_ms"] = str(now_ms - record.opened_ms)
             facts["silent_for_ms"] = str(now_ms - record.last_packet_ms)
-        facts["reason"] = _reason(facts, owner, self._fleet.me.name)
+        facts["reason"] = _reason(facts, flow_service, self._fleet.me.name)
         return facts
 
     def _sources(self, now_ms: int, key: packet.FlowKey) -> dict[str, str]:
@@ -172,7 +172,7 @@
     return "takes new flows by its weight"
 
 
-def _reason(facts: dict[str, str], owner: service.Service, me: str) -> str:
+def _reason(facts: dict[str, str], flow_service: service.Service, me: str) -> str:
     known = facts["record"]
     if known == NONE:
         if facts["home"] != me:
@@ -182,7 +182,7 @@
         return "no VM had a record; tried until a target answers"
     if known == facts["default_target"]:
         return "on the default target that hashing gives under this configuration"
-    if owner.retired:
+    if flow_service.retired:
         return "its service has left the rules; the flow stays where it began"
     return (
         "not on its default target: placed elsewhere when it opened, for load or "
--- a/eelgrasswick/homes/guess.py
+++ b/eelgrasswick/homes/guess.py
@@ -32,14 +32,16 @@
         self._tables = shared
 
     def begin(
-        self, now_ms: int, key: packet.FlowKey, owner: service.Service
+        self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
     ) -> flow.Record | None:
         """Record a guess for a flow; None when no target may see its packets."""
         # The address belonged to another service before, or may belong to one
         # by newer rules that this VM has not got yet: the packet may be meant
         # for that one, and no target of this one may see it.
-        doubtful = owner.reused or (owner.retired and self._tables.epochs.behind)
-        candidates = [] if doubtful else self._candidates(key, owner)
+        doubtful = flow_service.reused or (
+            flow_service.retired and self._tables.epochs.behind
+        )
+        candidates = [] if doubtful else self._candidates(key, flow_service)
         if not candidates:
             self._tables.outbox.count(_COUNT.PACKETS_UNKNOWN_FLOW)
             return None
@@ -48,7 +50,7 @@
             flow.Origin.GUESSED,
             flow.State.OPEN,
             now_ms,
-            owner.idle_s * 1000,
+            flow_service.idle_s * 1000,
         )
         self._tables.flows.add(key, record)
         self._tables.outbox.count(_COUNT.FLOWS_GUESSED)
@@ -60,7 +62,7 @@
         self,
         item: packet.Packet,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
         record: flow.Record,
     ) -> None:
         """Doubt a flow whose caller has answered another target's SYN-ACK."""
@@ -73,16 +75,16 @@
         record.origin = flow.Origin.GUESSED
         record.first_packet = item
         self._tables.outbox.count(_COUNT.FLOWS_GUESSED)
-        self.try_next_target(key, owner, record)
+        self.try_next_target(key, flow_service, record)
 
     def try_next_target(
-        self, key: packet.FlowKey, owner: service.Service, record: flow.Record
+        self, key: packet.FlowKey, flow_service: service.Service, record: flow.Record
     ) -> bool:
         """Try the next possible target, because this one does not hold the flow.
 
         Args:
             key: The flow.
-            owner: Its service.
+            flow_service: Its service.
             record: The guess; it points to the next target afterwards.
 
         Returns:
@@ -91,7 +93,7 @@
         record.ruled_out = record.ruled_out | {record.target.name}
         rest = [
             other
-            for other in self._candidates(key, owner)
+            for other in self._candidates(key, flow_service)
             if other.name not in record.ruled_out
         ]
         if not rest:
@@ -103,13 +105,13 @@
         return True
 
     def _candidates(
-        self, key: packet.FlowKey, owner: service.Service
+        self, key: packet.FlowKey, flow_service: service.Service
     ) -> list[target.Target]:
         epochs = self._tables.epochs
         current = epochs.current
         assert current is not None
-        found = {item.name: item for item in epochs.possible_targets(key, owner)}
-        for item in current.ranked_all(key, owner):
+        found = {item.name: item for item in epochs.possible_targets(key, flow_service)}
+        for item in current.ranked_all(key, flow_service):
             found.setdefault(item.name, item)
         present = current.config.targets
         names = [name for name in found if name in present]
@@ -118,15 +120,15 @@
     # First datagrams.
 
     def all_owners_reachable(
-        self, now_ms: int, key: packet.FlowKey, owner: service.Service
+        self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
     ) -> bool:
         """Tell whether every VM that may have placed a flow can be asked."""
-        former = self._tables.epochs.earlier_owners(now_ms, key, owner)
+        former = self._tables.epochs.earlier_owners(now_ms, key, flow_service)
         peers = self._tables.peers
         return all(name == self._name or peers.reachable(name) for name in former)
 
     def agreed_target(
-        self, now_ms: int, key: packet.FlowKey, owner: service.Service
+        self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
     ) -> target.Target | None:
         """Return where a former home that can't be asked would place a flow.
 
@@ -139,7 +141,7 @@
         """
         current = self._tables.epochs.current
         assert current is not None
-        defaults = self._tables.epochs.recent_defaults(now_ms, key, owner)
+        defaults = self._tables.epochs.recent_defaults(now_ms, key, flow_service)
         if not 0 < len(defaults) <= _MAX_VIEWS:
             return None
         present = current.config.targets.get(defaults[-1].name)
--- a/eelgrasswick/homes/home.py
+++ b/eelgrasswick/homes/home.py
@@ -26,13 +26,13 @@
         now_ms: When it came.
         item: The packet.
         key: Its flow.
-        owner: The flow's service.
+        flow_service: The flow's service.
     """
 
     now_ms: int
     item: packet.Packet
     key: packet.FlowKey
-    owner: service.Service
+    flow_service: service.Service
 
 
 class Home:
@@ -58,18 +58,18 @@
         now_ms: int,
         item: packet.Packet,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
     ) -> None:
         """Handle a caller's packet of a flow whose home is this VM."""
         record = self._tables.flows.get(key)
-        arrival = _Arrival(now_ms, item, key, owner)
+        arrival = _Arrival(now_ms, item, key, flow_service)
         if record is None:
             self._unknown(arrival)
         elif item.opens:
             self._open_again(arrival, record)
         elif record.acknowledges_other_target(item):
             record.last_packet_ms = now_ms
-            self._guesser.convert_to_guess(item, key, owner, record)
+            self._guesser.convert_to_guess(item, key, flow_service, record)
         else:
             self._continue(arrival, record)
 
@@ -79,11 +79,11 @@
         item: packet.Packet,
         key: packet.FlowKey,
         sender: target.Target,
-        owner: service.Service,
+        flow_service: service.Service,
     ) -> None:
         """Handle a target's SYN, FIN or RST for a flow at this home."""
         record = self._tables.flows.get(key)
-        arrival = _Arrival(now_ms, item, key, owner)
+        arrival = _Arrival(now_ms, item, key, flow_service)
         if record is None:
             self._answer_unknown(arrival, sender)
         elif record.target.name != sender.name:
@@ -168,9 +168,9 @@
             self._close_if_done(arrival, record)
 
     def _open_again(self, arrival: _Arrival, record: flow.Record) -> None:
-        now_ms, item, key, owner = arrival
+        now_ms, item, key, flow_service = arrival
         if record.state is flow.State.CLOSED:
-            self._opener.reopen(now_ms, item, key, owner, record)
+            self._opener.reopen(now_ms, item, key, flow_service, record)
             return
         record.last_packet_ms = now_ms
         silent = self._opener.should_retry(now_ms, record)
@@ -179,11 +179,11 @@
             # the SYN was sent, so no work can have begun; should the target
             # answer late, the home drops its SYN-ACK as a stray. Without this
             # a caller would wait for a dead target until it gives up.
-            self._opener.move(now_ms, key, owner, record)
+            self._opener.move(now_ms, key, flow_service, record)
         self._send_to_target(record.target, item)
 
     def _unknown(self, arrival: _Arrival) -> None:
-        now_ms, item, key, owner = arrival
+        now_ms, item, key, flow_service = arrival
         shared = self._tables
         if self._opener.take_if_waiting(item, key):
             return
@@ -195,7 +195,7 @@
             return
         if self._inquiries.append_if_open(key, item):
             return
-        earlier = shared.epochs.earlier_owners(now_ms, key, owner)
+        earlier = shared.epochs.earlier_owners(now_ms, key, flow_service)
         others = [name for name in earlier if name != self._name]
         former = [name for name in others if shared.peers.reachable(name)]
         if former:
@@ -207,56 +207,60 @@
         current = self._tables.epochs.current
         assert current is not None
         key = settled.flow
-        owner = current.config.service_at(
+        flow_service = current.config.service_at(
             key.protocol, key.service_ip, key.service_port
         )
-        if owner is None:
+        if flow_service is None:
             return
         known = current.config.targets.get(settled.target)
         for item in settled.packets:
-            arrival = _Arrival(now_ms, item, key, owner)
+            arrival = _Arrival(now_ms, item, key, flow_service)
             if self._tables.flows.get(key) is not None:
-                self.request(now_ms, item, key, owner)
-            elif known is not None and known.service == owner.name:
+                self.request(now_ms, item, key, flow_service)
+            elif known is not None and known.service == flow_service.name:
                 self._adopt(arrival, known)
             elif item.opens:
-                self._opener.admit(now_ms, item, key, owner, settled.certain)
+                self._opener.admit(now_ms, item, key, flow_service, settled.certain)
             elif item.protocol == packet.Protocol.UDP:
                 self._admit_datagram(arrival, settled.certain)
             else:
-                record = self._guesser.begin(now_ms, key, owner)
+                record = self._guesser.begin(now_ms, key, flow_service)
                 if record is not None:
                     self._continue(arrival, record)
 
     def _admit_datagram(self, arrival: _Arrival, answered: bool) -> None:
-        now_ms, item, key, owner = arrival
-        if answered and self._guesser.all_owners_reachable(now_ms, key, owner):
-            self._opener.admit(now_ms, item, key, owner, True)
+        now_ms, item, key, flow_service = arrival
+        if answered and self._guesser.all_owners_reachable(now_ms, key, flow_service):
+            self._opener.admit(now_ms, item, key, flow_service, True)
             return
-        agreed = self._guesser.agreed_target(now_ms, key, owner)
+        agreed = self._guesser.agreed_target(now_ms, key, flow_service)
         if agreed is not None:
-            self._opener.admit(now_ms, item, key, owner, False, agreed)
+            self._opener.admit(now_ms, item, key, flow_service, False, agreed)
         else:
             self._tables.outbox.count(_COUNT.PACKETS_UNKNOWN_FLOW)
 
     def _adopt(self, arrival: _Arrival, known: target.Target) -> None:
-        record = self.learn(arrival.now_ms, arrival.key, arrival.owner, known)
+        record = self.learn(arrival.now_ms, arrival.key, arrival.flow_service, known)
         self._continue(arrival, record)
 
     def learn(
         self,
         now_ms: int,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
         known: target.Target,
     ) -> flow.Record:
         """Record a flow whose target has become known for sure; return the record."""
         record = flow.Record(
-            known, flow.Origin.LEARNED, flow.State.OPEN, now_ms, owner.idle_s * 1000
+            known,
+            flow.Origin.LEARNED,
+            flow.State.OPEN,
+            now_ms,
+            flow_service.idle_s * 1000,
         )
         self._tables.flows.add(key, record)
         self._tables.outbox.count(_COUNT.FLOWS_LEARNED)
-        self._opener.replicate(key, owner, known)
+        self._opener.replicate(key, flow_service, known)
         return record
 
     # Packets of targets.
@@ -267,7 +271,7 @@
             # may answer a packet that another VM sent on a wrong guess.
             self._tables.outbox.count(_COUNT.RESETS_HELD_BACK)
             return
-        record = self.learn(arrival.now_ms, arrival.key, arrival.owner, sender)
+        record = self.learn(arrival.now_ms, arrival.key, arrival.flow_service, sender)
         self._answer_known(arrival, record)
 
     def _answer_stray(
@@ -296,9 +300,9 @@
         )
 
     def _answer_reset(self, arrival: _Arrival, record: flow.Record) -> None:
-        now_ms, item, key, owner = arrival
+        now_ms, item, key, flow_service = arrival
         if record.origin is flow.Origin.GUESSED:
-            if self._guesser.try_next_target(key, owner, record):
+            if self._guesser.try_next_target(key, flow_service, record):
                 self._tables.outbox.count(_COUNT.RESETS_HELD_BACK)
             else:
                 self._send_to_caller(item)
@@ -308,7 +312,7 @@
         if opening and item.refuses_open and record.first_packet is not None:
             # The target shed the flow before any work, so another may take it.
             self._tables.health.unanswered(now_ms, record.target.name)
-            if self._opener.move(now_ms, key, owner, record):
+            if self._opener.move(now_ms, key, flow_service, record):
                 self._send_to_target(record.target, record.first_packet)
                 return
         self._send_to_caller(item)
@@ -352,10 +356,10 @@
     def _forget(self, key: packet.FlowKey, record: flow.Record) -> None:
         current = self._tables.epochs.current
         assert current is not None
-        owner = current.config.services.get(record.target.service)
-        if owner is None:
+        flow_service = current.config.services.get(record.target.service)
+        if flow_service is None:
             return
-        place = current.locate(key, owner)
+        place = current.locate(key, flow_service)
         default = place.default.name if place.default is not None else ""
         if record.target.name != default and place.backup not in (None, self._name):
             assert place.backup is not None
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -99,33 +99,35 @@
     def _serve(self, now_ms: int, name: str) -> None:
         """Place what waits for a service, in turn, and refuse what is late."""
         current = self._tables.epochs.current
-        owner = current.config.services.get(name) if current is not None else None
-        if owner is None:
+        flow_service = (
+            current.config.services.get(name) if current is not None else None
+        )
+        if flow_service is None:
             return
-        queue = self._pending.queue(owner)
+        queue = self._pending.queue(flow_service)
         for late in queue.expire(now_ms):
-            self._refuse_late(now_ms, late, owner, queue)
+            self._refuse_late(now_ms, late, flow_service, queue)
         while waiter := queue.first():
             item, key = waiter.item
-            if not self._pending.is_home(key, owner):
+            if not self._pending.is_home(key, flow_service):
                 queue.cancel(waiter.flow)
                 continue
-            chosen = self._selector.choose(now_ms, key, owner, frozenset())
+            chosen = self._selector.choose(now_ms, key, flow_service, frozenset())
             if chosen.target is None:
                 return
             queue.place(now_ms)
             self._tables.outbox.count(_COUNT.FLOWS_WAITED)
-            self.place(now_ms, item, key, owner, chosen.target)
+            self.place(now_ms, item, key, flow_service, chosen.target)
 
     def _refuse_late(
         self,
         now_ms: int,
         late: waiting.Waiter[pending.WaitingPacket],
-        owner: service.Service,
+        flow_service: service.Service,
         queue: pending.Queue,
     ) -> None:
         item, key = late.item
-        if not self._pending.is_home(key, owner):
+        if not self._pending.is_home(key, flow_service):
             return
         retry_ms = queue.promise(now_ms, key.caller_ip)
         refusal = admission.Refusal(errors.ErrorKind.WAIT_EXPIRED, retry_ms)
@@ -136,14 +138,14 @@
         now_ms: int,
         item: packet.Packet,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
         record: flow.Record,
     ) -> None:
         """Handle a SYN on a flow whose record still lingers."""
         # The caller uses its port again while other VMs may hold a hint of the
         # old flow. On another target the new flow would be reset by packets
         # that follow those hints; on the same target they are right.
-        refusal = self._refusal(now_ms, key, owner)
+        refusal = self._refusal(now_ms, key, flow_service)
         present = self._tables.epochs.current
         assert present is not None
         chosen = present.config.targets.get(record.target.name)
@@ -152,14 +154,14 @@
         if refusal is not None or chosen is None:
             self.refuse(item, key, refusal)
             return
-        self.place(now_ms, item, key, owner, chosen)
+        self.place(now_ms, item, key, flow_service, chosen)
 
     def admit(
         self,
         now_ms: int,
         item: packet.Packet,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
         certain: bool,
         preset: target.Target | None = None,
     ) -> None:
@@ -169,23 +171,24 @@
             now_ms: Present time in milliseconds.
             item: The first packet of the flow.
             key: The flow.
-            owner: Its service.
+            flow_service: Its service.
             certain: False when another VM may have placed the flow already.
             preset: Target on which that VM would have placed it, if known.
         """
-        refusal = self._refusal(now_ms, key, owner)
+        refusal = self._refusal(now_ms, key, flow_service)
         chosen = None
         if refusal is None and item.opens:
-            refusal = self._enter(now_ms, item, key, owner)
+            refusal = self._enter(now_ms, item, key, flow_service)
             if refusal is None:
                 return
         elif refusal is None:
             chosen = (
-                preset or self._selector.choose(now_ms, key, owner, frozenset()).target
+                preset
+                or self._selector.choose(now_ms, key, flow_service, frozenset()).target
             )
             refusal = _no_target(key)
         if chosen is not None:
-            self.place(now_ms, item, key, owner, chosen)
+            self.place(now_ms, item, key, flow_service, chosen)
         elif item.protocol == packet.Protocol.UDP and not certain:
             # A former home may have sent this very datagram to a target. Told
             # "not run", the caller would send it again and it would run twice.
@@ -198,33 +201,33 @@
         now_ms: int,
         item: packet.Packet,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
     ) -> admission.Refusal | None:
         """Place a TCP flow or let it wait; return why when it may do neither."""
-        queue = self._pending.queue(owner)
+        queue = self._pending.queue(flow_service)
         if len(queue):
             return self._pending.offer(now_ms, item, key, queue)
-        chosen = self._selector.choose(now_ms, key, owner, frozenset())
+        chosen = self._selector.choose(now_ms, key, flow_service, frozenset())
         if chosen.target is not None:
             queue.note_placed(now_ms)
-            self.place(now_ms, item, key, owner, chosen.target)
+            self.place(now_ms, item, key, flow_service, chosen.target)
             return None
         if chosen.waits:
             return self._pending.offer(now_ms, item, key, queue)
         return _no_target(key)
 
     def _refusal(
-        self, now_ms: int, key: packet.FlowKey, owner: service.Service
+        self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
     ) -> admission.Refusal | None:
         today = datetime.datetime.fromtimestamp(now_ms / 1000, datetime.UTC).date()
-        if owner.ended(today):
+        if flow_service.ended(today):
             return admission.Refusal(errors.ErrorKind.SERVICE_ENDED, _DAY_MS)
         flows = self._tables.flows
-        caller = flow.Caller(owner.name, key.caller_ip)
+        caller = flow.Caller(flow_service.name, key.caller_ip)
         demand = admission.Demand(
-            owner.limit,
+            flow_service.limit,
             self._share(),
-            flows.open_by_service[owner.name],
+            flows.open_by_service[flow_service.name],
             flows.open_by_caller[caller],
         )
         return admission.admit(demand, _spread(key))
@@ -239,14 +242,14 @@
         now_ms: int,
         item: packet.Packet,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
         chosen: target.Target,
     ) -> None:
         """Record a new flow on a target and send it the first packet."""
         opening = item.opens
         state = flow.State.OPENING if opening else flow.State.OPEN
         record = flow.Record(
-            chosen, flow.Origin.PLACED, state, now_ms, owner.idle_s * 1000
+            chosen, flow.Origin.PLACED, state, now_ms, flow_service.idle_s * 1000
         )
         if opening:
             record.first_packet = item
@@ -256,7 +259,7 @@
         self._tables.flows.add(key, record)
         self._tables.hints.remove(key)
         self._tables.outbox.count(_COUNT.FLOWS_PLACED)
-        exception = self.replicate(key, owner, chosen)
+        exception = self.replicate(key, flow_service, chosen)
         self.chooser.begin(now_ms, key.packed, chosen.name, exception)
         self._send_to_target(chosen, item)
 
@@ -264,14 +267,14 @@
         self,
         now_ms: int,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
         record: flow.Record,
     ) -> bool:
         """Point an opening flow to another target; False when it must stay."""
         if not self.chooser.retry.spend():
             return False
         ruled_out = record.ruled_out | {record.target.name}
-        chosen = self._selector.choose(now_ms, key, owner, ruled_out).target
+        chosen = self._selector.choose(now_ms, key, flow_service, ruled_out).target
         if chosen is None:
             return False
         record.ruled_out = ruled_out
@@ -287,11 +290,11 @@
         self.chooser.move(now_ms, key.packed, chosen.name)
         self._tables.outbox.count(_COUNT.FLOWS_MOVED)
         self._opening.append(UnansweredOpening(now_ms + health.ANSWER_MS, key, record))
-        self.replicate(key, owner, chosen)
+        self.replicate(key, flow_service, chosen)
         return True
 
     def replicate(
-        self, key: packet.FlowKey, owner: service.Service, chosen: target.Target
+        self, key: packet.FlowKey, flow_service: service.Service, chosen: target.Target
     ) -> bool:
         """Have the backup keep a flow that is not on its default target.
 
@@ -300,7 +303,7 @@
         """
         current = self._tables.epochs.current
         assert current is not None
-        place = current.locate(key, owner)
+        place = current.locate(key, flow_service)
         if place.default is not None and place.default.name == chosen.name:
             return False
         self._tables.outbox.count(_COUNT.FLOWS_EXCEPTION)
@@ -339,20 +342,22 @@
             return
         self._tables.health.unanswered(now_ms, record.target.name)
         current = self._tables.epochs.current
-        owner = current.config.services.get(record.target.service) if current else None
+        flow_service = (
+            current.config.services.get(record.target.service) if current else None
+        )
         if (
-            owner is None
+            flow_service is None
             or record.first_packet is None
-            or not self._pending.is_home(key, owner)
+            or not self._pending.is_home(key, flow_service)
         ):
             return
-        self._open_again(now_ms, key, owner, record, record.first_packet)
+        self._open_again(now_ms, key, flow_service, record, record.first_packet)
 
     def _open_again(
         self,
         now_ms: int,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
         record: flow.Record,
         first: packet.Packet,
     ) -> None:
@@ -365,7 +370,7 @@
         if now_ms - record.opened_ms >= SYN_REPEAT_WINDOW_MS:
             return
         silent = self.should_retry(now_ms, record)
-        if not (silent and self.move(now_ms, key, owner, record)):
+        if not (silent and self.move(now_ms, key, flow_service, record)):
             self._opening.append(
                 UnansweredOpening(now_ms + health.ANSWER_MS, key, record)
             )
--- a/eelgrasswick/homes/pending.py
+++ b/eelgrasswick/homes/pending.py
@@ -37,10 +37,12 @@
         self._tables = shared
         self._queues: dict[str, Queue] = {}
 
-    def queue(self, owner: service.Service) -> Queue:
+    def queue(self, flow_service: service.Service) -> Queue:
         """Return the queue of a service."""
-        known = self._queues.setdefault(owner.name, waiting.Queue(owner.wait_ms))
-        known.wait_ms = owner.wait_ms
+        known = self._queues.setdefault(
+            flow_service.name, waiting.Queue(flow_service.wait_ms)
+        )
+        known.wait_ms = flow_service.wait_ms
         return known
 
     def waiting_services(self) -> list[str]:
@@ -78,7 +80,9 @@
         for queue in self._queues.values():
             queue.cancel(flow)
 
-    def is_home(self, key: packet.FlowKey, owner: service.Service) -> bool:
+    def is_home(self, key: packet.FlowKey, flow_service: service.Service) -> bool:
         """Tell whether this VM still decides about a flow."""
         current = self._tables.epochs.current
-        return current is not None and current.locate(key, owner).home == self._name
+        return (
+            current is not None and current.locate(key, flow_service).home == self._name
+        )
--- a/eelgrasswick/homes/rehome.py
+++ b/eelgrasswick/homes/rehome.py
@@ -51,10 +51,10 @@
         current = shared.epochs.current
         if known is None or current is None:
             return
-        owner = current.config.services.get(known.service)
-        if owner is None:
+        flow_service = current.config.services.get(known.service)
+        if flow_service is None:
             return
-        place = current.locate(key, owner)
+        place = current.locate(key, flow_service)
         if record is not None and place.home not in (None, self._name):
             self._demote(now_ms, key, record)
         if record is not None and not _certain(record):
--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -119,17 +119,17 @@
         key = item.request_key()
         current = self._tables.epochs.current
         assert current is not None
-        owner = current.config.service_at(
+        flow_service = current.config.service_at(
             key.protocol, key.service_ip, key.service_port
         )
-        if owner is None:
+        if flow_service is None:
             self._no_service(item, current)
             return
         if not item.controls and self._send_by_hint(now_ms, item, key):
             return
-        receiver = self._deciding_vm(now_ms, current, key, owner)
+        receiver = self._deciding_vm(now_ms, current, key, flow_service)
         if receiver == self._name or (hops and self._tables.flows.get(key)):
-            self._home.request(now_ms, item, key, owner)
+            self._home.request(now_ms, item, key, flow_service)
         else:
             self._send_to_vm(receiver, wire.Forward(hops + 1, item.raw))
 
@@ -138,9 +138,9 @@
         now_ms: int,
         current: epoch.Epoch,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
     ) -> str | None:
-        home_name = current.locate(key, owner).home
+        home_name = current.locate(key, flow_service).home
         if home_name != self._name:
             return home_name
         return self._home.delegate_of(now_ms, key) or home_name
@@ -183,8 +183,8 @@
         if item.controls:
             self._handle_target_control(now_ms, item, sender, 0)
             return
-        owner = self._service_of(item, sender)
-        if owner is None:
+        flow_service = self._service_of(item, sender)
+        if flow_service is None:
             return
         self._tables.outbox.count(_COUNT.PACKETS_ANSWER)
         key = item.answer_key()
@@ -198,15 +198,15 @@
     def _handle_target_control(
         self, now_ms: int, item: packet.Packet, sender: target.Target, hops: int
     ) -> None:
-        owner = self._service_of(item, sender)
+        flow_service = self._service_of(item, sender)
         current = self._tables.epochs.current
-        if owner is None or current is None:
+        if flow_service is None or current is None:
             return
         key = item.answer_key()
-        receiver = self._deciding_vm(now_ms, current, key, owner)
+        receiver = self._deciding_vm(now_ms, current, key, flow_service)
         here = self._tables.flows.get(key) is not None
         if receiver == self._name or (hops and here):
-            self._home.answer(now_ms, item, key, sender, owner)
+            self._home.answer(now_ms, item, key, sender, flow_service)
         else:
             self._send_to_vm(receiver, wire.Relay(hops + 1, sender.name, item.raw))
 
@@ -219,8 +219,8 @@
         current = self._tables.epochs.current
         assert current is not None
         source = item.source
-        owner = current.config.service_at(item.protocol, source.ip, source.port)
-        if owner is None or owner.name != sender.service:
+        flow_service = current.config.service_at(item.protocol, source.ip, source.port)
+        if flow_service is None or flow_service.name != sender.service:
             self._tables.outbox.count(_COUNT.PACKETS_UNKNOWN_SENDER)
             return None
-        return owner
+        return flow_service
--- a/tests/test_opener.py
+++ b/tests/test_opener.py
@@ -68,7 +68,7 @@
     reset = packet.build_tcp(caller, address, packet.Flags.RST, 1)
     placed = vm.engine.outbox.counts[message.Counter.FLOWS_PLACED]
     vm.engine.home.request(
-        slow_world.now_ms, packet.FouCodec().decode(reset), key, owner(vm)
+        slow_world.now_ms, packet.FouCodec().decode(reset), key, desk_service(vm)
     )
     assert not vm.engine.opener.take_if_waiting(packet.FouCodec().decode(reset), key)
     assert vm.engine.tables.flows.get(key) is None
@@ -110,7 +110,7 @@
     assert max(times) < 990
 
 
-def owner(vm: world.Vm) -> service.Service:
+def desk_service(vm: world.Vm) -> service.Service:
     current = vm.engine.tables.epochs.current
     assert current is not None
     return current.config.services["desk"]
