--- a/eelgrasswick/homes/_wheel.py
+++ b/eelgrasswick/homes/_wheel.py
@@ -1,4 +1,4 @@
-"""Deadlines of many keys, kept in buckets of one second."""
+"""A timer wheel: deadlines of many keys, kept in buckets of one second."""
 
 import typing
 
@@ -8,26 +8,27 @@
 
 
 class Wheel(typing.Generic[Key]):
-    """Delegations keys whose bucket is over; the owner checks the exact deadline.
+    """Returns each key once the one-second bucket of its deadline is over.
 
-    Adding and taking cost a constant time per key, so hundreds of thousands of
-    open flows need no sweep over the whole table.
+    The caller of ``due`` compares the exact deadline itself. Adding and taking
+    a key cost constant time, so that hundreds of thousands of open flows need
+    no scan of the whole table.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty wheel."""
         self._buckets: dict[int, list[Key]] = {}
         self._done: int | None = None
 
     def add(self, key: Key, at_ms: int) -> None:
-        """Have a key come up once ``at_ms`` has passed."""
+        """Schedule a key for the first bucket that begins after ``at_ms``."""
         bucket = at_ms // _BUCKET_MS + 1
         if self._done is not None:
             bucket = max(bucket, self._done + 1)
         self._buckets.setdefault(bucket, []).append(key)
 
     def due(self, now_ms: int) -> list[Key]:
-        """Take the keys whose time has passed."""
+        """Remove and return the keys whose bucket has begun."""
         present = now_ms // _BUCKET_MS
         if self._done == present:
             return []
--- a/eelgrasswick/homes/emptiness.py
+++ b/eelgrasswick/homes/emptiness.py
@@ -1,8 +1,9 @@
-"""Notices when a target that gets no new flows has none left.
+"""Detects when a target that gets no new flows has no open flow left.
 
-Operators switch a drained machine off when it is empty. Each VM logs what it
-sees; the VMs of the target's zone that watch the store also write it to the
-audit trail, once it has held for a while.
+Operators switch a drained machine off when it is empty. Each VM logs that it
+counts no open flow at a target. The VMs of the target's zone that watch the
+store also record it in the audit trail, once the target has stayed empty for
+``EMPTY_CONFIRM_MS``.
 """
 
 import typing
@@ -27,10 +28,10 @@
 
 
 class EmptyTargets:
-    """Follows the targets that take no new flow."""
+    """Tracks the open flows of targets that take no new flow."""
 
     def __init__(self, shared: tables.Tables) -> None:
-        """Follow the targets of the configuration in force."""
+        """Create a tracker for the targets of the configuration in force."""
         self._tables = shared
         self._leaving: dict[str, _Leaving] = {}
 
@@ -41,11 +42,11 @@
         watching: bool,
         others: typing.Sequence[str],
     ) -> None:
-        """Log targets that have become empty, and note them for the trail.
+        """Log targets that became empty, and record them in the audit trail.
 
         Args:
             now_ms: Present time in milliseconds.
-            me: This VM.
+            me: The membership entry of this VM.
             watching: True when this VM watches the store for its zone.
             others: Names of the other serving VMs.
         """
@@ -72,8 +73,8 @@
     def _record_empty(
         self, now_ms: int, me: member.Member, zones: frozenset[str], homes: int
     ) -> None:
-        # For a moment after a home died its flows are counted nowhere. Written
-        # down at once, a target with open flows would stand in the trail as
+        # For a short time after a home died, no VM counts its flows. Without
+        # the delay, the audit trail would list a target with open flows as
         # empty, and an operator would switch it off.
         current = self._tables.epochs.current
         assert current is not None
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -1,7 +1,8 @@
-"""The engine of an entry VM: fed (now, event), it returns actions.
+"""The sans-I/O engine of an entry VM.
 
+The engine takes an event together with the present time and returns actions.
 It has no socket, clock or random source of its own, so that a test can drive
-many engines in virtual time. The parts share state through ``tables.Tables``.
+many engines in virtual time. Its parts share state through ``tables.Tables``.
 """
 
 import random
@@ -51,7 +52,7 @@
 
 
 class Engine:
-    """One entry VM without its sockets."""
+    """The logic of one entry VM, without its sockets."""
 
     def __init__(
         self,
@@ -61,13 +62,13 @@
         policy: placement.Placement,
         rng: random.Random,
     ) -> None:
-        """Build an engine in state JOINING.
+        """Create an engine in state JOINING.
 
         Args:
-            me: This VM.
-            seeds: Peer addresses to try before any VM is known.
+            me: The membership entry of this VM.
+            seeds: Addresses of peers to contact before any peer is known.
             codec: Encapsulation of packets.
-            policy: Chooses targets for new flows.
+            policy: Policy that chooses targets for new flows.
             rng: Seeded source of randomness.
         """
         self.name = me.name
@@ -99,10 +100,10 @@
 
         Args:
             now_ms: Present time, milliseconds since 1970.
-            event: What happened.
+            event: The event to handle.
 
         Returns:
-            What to do, in order.
+            The actions to carry out, in order.
         """
         paused_ms = self.membership.check_pause(now_ms)
         if paused_ms:
@@ -130,14 +131,16 @@
 
     def _resume(self, now_ms: int, paused_ms: int) -> None:
         # After a pause the sockets hold packets as old as the pause. Callers
-        # have repeated them to VMs that took over, perhaps under other rules;
-        # sent on, an old copy could start the same request on a second target.
-        # So what waits is dropped; what still matters is sent again.
+        # have retransmitted them to VMs that took over, perhaps under other
+        # rules; an old copy that is forwarded now could start the same request
+        # on a second target. The engine therefore drops queued packets;
+        # callers and peers retransmit those that still matter.
         self._discard_until_ms = now_ms + WAKE_DISCARD_MS
         if paused_ms >= STATE_RESET_PAUSE_MS:
-            # The others took this VM for dead and keep its flows. Its own
-            # records may name targets of flows that ended, whose ports now
-            # carry other flows; a packet sent by them would be lost or reset.
+            # The peers have confirmed this VM dead and taken over its flows.
+            # Its own records may name targets of flows that ended and whose
+            # ports now carry other flows; a packet that is sent according to
+            # such a record would be lost or reset.
             self.tables.flows.clear()
             self.tables.hints.clear()
             self.tables.replicator.clear()
@@ -185,7 +188,9 @@
             case wire.PingVia():
                 self.membership.ping_via(source, item)
             case _:
-                raise errors.MessageInvalidError("message belongs on a link")
+                raise errors.MessageInvalidError(
+                    "message must come over a link, not in a datagram"
+                )
 
     def _record_peer_sequence(self, now_ms: int, item: wire.Ping | wire.Ack) -> None:
         self.keeper.heard(now_ms, item.sender.name, item.sequence)
@@ -194,7 +199,8 @@
     def _handle_unknown_sender(
         self, now_ms: int, source: packet.Address, item: wire.PeerMessage
     ) -> None:
-        # Operators' commands speak from machines that are no VM of the fleet.
+        # Operators' commands send these requests from machines that are not
+        # VMs of the fleet.
         if isinstance(item, wire.ExplainFlow | wire.ExplainTarget):
             self.peers.send_to(source, self._explainer.explain(now_ms, item))
         else:
@@ -224,7 +230,9 @@
             case wire.ConfigWant():
                 self.keeper.want(sender, item)
             case _:
-                raise errors.MessageInvalidError("message does not belong on a link")
+                raise errors.MessageInvalidError(
+                    "message must come in a datagram, not over a link"
+                )
 
     def _drop_message(self, sender: str, error: errors.MessageInvalidError) -> None:
         self.outbox.count(message.Counter.MESSAGES_INVALID)
@@ -268,7 +276,7 @@
         current = self.tables.epochs.current
         return current.config.targets.get(name) if current is not None else None
 
-    # Time, and what follows from changes.
+    # Periodic work, and reactions to changes of configuration or membership.
 
     def _tick(self, now_ms: int) -> None:
         self.membership.tick(now_ms, self.keeper.current is not None)
@@ -340,9 +348,10 @@
         before: epoch.Epoch,
         members: typing.Sequence[member.Member],
     ) -> None:
-        # VMs that come back from the other side of a cut were homes there. The
-        # flows they placed are unknown here, and are asked for as if the other
-        # side's view had been in force here too.
+        # VMs that return from the other side of a network partition were homes
+        # there, and this VM has no records of the flows that they placed. The
+        # other side's view is added as an earlier epoch, so that this VM sends
+        # inquiries about those flows to the returned VMs.
         back = [item for item in members if item.name not in before.members]
         if back:
             self.tables.epochs.add_earlier(now_ms, epoch.Epoch(before.config, back))
@@ -362,8 +371,9 @@
                 continue
             present = self._unchanged_target(record.target)
             if present is None:
-                # The target is gone for good, or its address serves another
-                # service now. No packet of the flow may go there any more.
+                # The target has been removed from the configuration, or its
+                # address belongs to another service now. No further packet of
+                # the flow may be sent to that address.
                 self.tables.flows.remove(key)
                 self.outbox.count(message.Counter.FLOWS_DROPPED)
                 name = record.target.name
--- a/eelgrasswick/homes/epoch.py
+++ b/eelgrasswick/homes/epoch.py
@@ -1,10 +1,10 @@
-"""Where a flow belongs under one configuration and one view of the fleet.
+"""The location of flows under one configuration and one view of the fleet.
 
-An epoch pairs a configuration with the serving VMs. It answers, without any
-message, which target a flow gets by default, which VM is the flow's home and
-which VM backs the home up. The default target is chosen from the configuration
-alone, and the home is taken from the target's zone, so that only the first hop
-crosses zones.
+An epoch pairs a configuration with the serving VMs. From these alone, without
+any message, a VM computes the default target of a flow, the VM that is the
+flow's home and the VM that is the home's backup. The default target is chosen
+from the configuration alone, and the home is chosen from the VMs of the
+target's zone, so that only the first hop crosses zones.
 """
 
 import collections
@@ -25,13 +25,14 @@
 
 
 class Location(typing.NamedTuple):
-    """Where one flow belongs.
+    """The default target, home and backup of one flow.
 
     Attributes:
-        default: Target by hashing alone; None when no target takes new flows.
-        home: Name of the VM that decides for the flow; None without VMs.
-        backup: Name of the VM that keeps the flow's exception; None when the
-            home is alone.
+        default: Target that rendezvous hashing selects; None when no target
+            takes new flows.
+        home: Name of the VM that decides about the flow; None when no VM serves.
+        backup: Name of the VM that keeps a copy if the flow is an exception;
+            None when the home is the only serving VM.
     """
 
     default: target.Target | None
@@ -45,7 +46,10 @@
 
 
 class _Ranked(typing.NamedTuple):
-    """What the rank of a VM depends on; its state and incarnation do not."""
+    """The properties on which the rank of a VM depends.
+
+    Its state and incarnation don't change its rank.
+    """
 
     name: str
     zone: str
@@ -58,11 +62,12 @@
     def __init__(
         self, current: config.Config, members: typing.Iterable[member.Member]
     ) -> None:
-        """Prepare the candidates of every zone."""
+        """Create an epoch of the serving ones among ``members``."""
         self.config = current
         self.members = {item.name: item for item in members if item.serves}
-        # Filled as flows come. Prepared for thousands of services at each
-        # change, they would hold up the tick in which the epoch begins.
+        # The candidates of a service are computed when its first flow arrives.
+        # Computing those of thousands of services at each change would delay
+        # the tick in which the epoch begins.
         self._targets: dict[str, list[rendezvous.Candidate]] = {}
         self._entries = {
             item.name: rendezvous.candidate(item.name, item.size)
@@ -73,14 +78,14 @@
         for item in self.members.values():
             self._by_zone.setdefault(item.zone, []).append(self._entries[item.name])
         self._owners: dict[tuple[str, int], _Owners] = {}
-        # Added up here and not for each new flow, or opening a flow would cost
-        # more with every VM that joins.
+        # The sum is computed once here and not for each new flow, because
+        # otherwise the cost of opening a flow would grow with the fleet.
         self._total_size = sum(item.size for item in self.members.values())
 
     def share(self, name: str) -> float:
-        """Return a VM's part of the fleet's strength, 0 to 1.
+        """Return a VM's fraction of the fleet's total size, 0 to 1.
 
-        Without any serving VM a VM is on its own and has the whole.
+        If no VM serves, this VM is on its own and its fraction is 1.
         """
         if not self._total_size:
             return 1.0
@@ -89,16 +94,16 @@
 
     @property
     def zones(self) -> frozenset[str]:
-        """Zones in which at least one VM serves."""
+        """Names of the zones in which at least one VM serves."""
         return frozenset(self._by_zone)
 
     def same_members(self, members: typing.Iterable[member.Member]) -> bool:
-        """Tell whether homes would be the same with these serving VMs."""
-        here = {(item.name, item.zone, item.size) for item in self.members.values()}
-        return here == {(item.name, item.zone, item.size) for item in members}
+        """Return whether homes would be the same with these serving VMs."""
+        own = {(item.name, item.zone, item.size) for item in self.members.values()}
+        return own == {(item.name, item.zone, item.size) for item in members}
 
     def locate(self, flow: packet.FlowKey, flow_service: service.Service) -> Location:
-        """Tell where a flow to a service belongs."""
+        """Return the location of a flow to a service."""
         key = flow.packed
         chosen = rendezvous.best(key, self._candidates(flow_service.name))
         default = self.config.targets[chosen] if chosen is not None else None
@@ -109,17 +114,17 @@
     def ranked(
         self, flow: packet.FlowKey, flow_service: service.Service
     ) -> list[target.Target]:
-        """Return the targets that take new flows, the default in front."""
+        """Return the targets that take new flows, the default target first."""
         names = rendezvous.ranked(flow.packed, self._candidates(flow_service.name))
         return [self.config.targets[name] for name in names]
 
     def ranked_all(
         self, flow: packet.FlowKey, flow_service: service.Service
     ) -> list[target.Target]:
-        """Return all targets, also those that take no new flow, in hash order.
+        """Return all targets by rank, including those that take no new flow.
 
-        A flow that began before a drain is on the target that ranks first when
-        the drain is left out.
+        The default target of a flow that began before a drain is the one that
+        ranks first if the drain is disregarded.
         """
         entries = [
             rendezvous.candidate(item.name, item.weight)
@@ -146,25 +151,26 @@
 
     @property
     def cached_slots(self) -> int:
-        """Number of slots whose owners have been worked out."""
+        """Number of slots whose home and backup are cached."""
         return len(self._owners)
 
     def reuse_from(self, before: "Epoch") -> None:
-        """Take over what an earlier epoch worked out and the change left alone.
+        """Copy cached results of an earlier epoch that the change leaves valid.
 
-        A slot's home and backup are ranked over all VMs. Ranked anew after each
-        change of the fleet, the slots of a large one would keep a VM busy for
-        seconds, and its heartbeats would stop. By rendezvous hashing the owners
-        that are still there stay, unless a VM that came ranks above them.
+        The home and backup of a slot are ranked over all VMs. Ranking all slots
+        again after each change of a large fleet would keep a VM busy for
+        seconds, in which it would send no heartbeats. With rendezvous hashing,
+        a home or backup that still serves keeps its role unless a VM that
+        joined ranks above it.
 
         Args:
             before: The epoch that was in force until now.
         """
         if before.config is self.config:
             self._targets = before._targets
-        here, there = self._ranked_members(), before._ranked_members()
-        joined = here - there
-        departed = {item.name for item in there - here}
+        own, earlier = self._ranked_members(), before._ranked_members()
+        joined = own - earlier
+        departed = {item.name for item in earlier - own}
         if len(joined) > _MAX_JOINED:
             return
         for (zone, slot), owners in before._owners.items():
@@ -173,7 +179,9 @@
             if not self._is_reusable(before, zone, owners):
                 continue
             key = slot.to_bytes(2, "big")
-            self._owners[(zone, slot)] = self._outrank(key, zone, owners, joined)
+            self._owners[(zone, slot)] = self._rank_against_joined(
+                key, zone, owners, joined
+            )
 
     def _ranked_members(self) -> set[_Ranked]:
         return {
@@ -181,8 +189,9 @@
         }
 
     def _is_reusable(self, before: "Epoch", zone: str, owners: _Owners) -> bool:
-        # Without VMs in the zone, or with VMs in one zone only, owners are
-        # ranked over another set; a change between the two ranks anew.
+        # If no VM serves in the zone, or VMs serve in one zone only, home and
+        # backup are ranked over a different set of VMs. A change to or from
+        # such a state requires a new ranking.
         if owners.home is None or owners.backup is None:
             return False
         same_zone = before.members[owners.home].zone == zone
@@ -192,15 +201,15 @@
             and before.members[owners.backup].zone != zone
         )
 
-    def _outrank(
+    def _rank_against_joined(
         self, key: bytes, zone: str, owners: _Owners, joined: set[_Ranked]
     ) -> _Owners:
         if not joined:
             return owners
         home, backup = owners
-        near = [home, *(item.name for item in joined if item.zone == zone)]
-        far = [backup, *(item.name for item in joined if item.zone != zone)]
-        return _Owners(self._best(key, near), self._best(key, far))
+        same_zone = [home, *(item.name for item in joined if item.zone == zone)]
+        other_zones = [backup, *(item.name for item in joined if item.zone != zone)]
+        return _Owners(self._best(key, same_zone), self._best(key, other_zones))
 
     def _best(self, key: bytes, names: list[str | None]) -> str | None:
         entries = [self._entries[name] for name in names if name is not None]
@@ -210,9 +219,9 @@
         home = rendezvous.best(key, self._by_zone.get(zone) or self._all)
         if home is None:
             return _Owners(None, None)
-        # A whole zone can go at once. Were home and backup in the same zone,
-        # the exceptions would go with it and open flows would be guessed at;
-        # a backup in another zone keeps them.
+        # A whole zone can fail at once. If home and backup were in the same
+        # zone, its failure would lose the exceptions, and the targets of open
+        # flows would have to be guessed. A backup in another zone keeps them.
         elsewhere = [
             item
             for item in self._all
@@ -236,10 +245,15 @@
 
 
 class EpochLog:
-    """The epoch in force and those that ended a short while ago."""
+    """The epoch in force and the epochs that ended recently."""
 
     def __init__(self, window_ms: int) -> None:
-        """Keep ended epochs for a window in milliseconds."""
+        """Create an empty log.
+
+        Args:
+            window_ms: Time for which the owners and default targets of an ended
+                epoch are still taken into account, in milliseconds.
+        """
         self.current: Epoch | None = None
         self._newest_sequence = 0
         self._window_ms = window_ms
@@ -252,18 +266,18 @@
 
     @property
     def behind(self) -> bool:
-        """True when another VM has told of a newer configuration."""
+        """True when a peer has reported a newer configuration."""
         return (
             self.current is not None
             and self._newest_sequence > self.current.config.sequence
         )
 
     def note_sequence(self, sequence: int) -> None:
-        """Note the sequence that another VM has in force."""
+        """Record the sequence of the configuration that a peer has in force."""
         self._newest_sequence = max(self._newest_sequence, sequence)
 
     def advance(self, now_ms: int, epoch: Epoch) -> None:
-        """Put a new epoch in force."""
+        """Put a new epoch in force and end the current one."""
         if self.current is not None:
             epoch.reuse_from(self.current)
             self._earlier.appendleft(_Earlier(self.current, now_ms))
@@ -272,22 +286,22 @@
         self.current = epoch
 
     def add_earlier(self, now_ms: int, epoch: Epoch) -> None:
-        """Treat an epoch that other VMs had as one that ended here now."""
+        """Add an epoch of other VMs, as if it had been in force here until now."""
         self._earlier.appendleft(_Earlier(epoch, now_ms))
 
     def earlier_owners(
         self, now_ms: int, flow: packet.FlowKey, flow_service: service.Service
     ) -> list[str]:
-        """Return VMs other than the present home that may know the flow.
+        """Return the VMs that may have a record of the flow from earlier epochs.
 
         Args:
             now_ms: Present time in milliseconds.
             flow: The flow.
-            flow_service: Its service.
+            flow_service: Service to which the flow goes.
 
         Returns:
             Names of homes and backups under the epochs that ended within the
-            window, the newest first, without repeats.
+            window, the newest first, without duplicates.
         """
         names: dict[str, None] = {}
         for item in self._earlier:
@@ -303,7 +317,7 @@
     def recent_defaults(
         self, now_ms: int, flow: packet.FlowKey, flow_service: service.Service
     ) -> list[target.Target]:
-        """Return default targets of a flow within the window, newest first."""
+        """Return the flow's default targets in the window, the newest first."""
         assert self.current is not None
         recent = [
             item.epoch
@@ -321,10 +335,11 @@
     def possible_targets(
         self, flow: packet.FlowKey, flow_service: service.Service
     ) -> list[target.Target]:
-        """Return default targets of the flow, newest configuration first.
+        """Return the flow's possible targets, of the newest configuration first.
 
-        A flow of which no VM has a record got the default target of the
-        configuration under which it began. These are the ones it can be on.
+        A flow of which no VM has a record is on the default target of the
+        configuration under which it began. The result has the default target
+        of each configuration that is still kept.
         """
         epochs = [self.current] if self.current is not None else []
         epochs += self._by_config
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -1,8 +1,9 @@
-"""Explains why a flow or a target is where it is, as one entry VM sees it.
+"""Explains to operators the state of a flow or a target, as one entry VM sees it.
 
-Any VM can work out the default target, home and backup of a flow; only the home
-knows the rest. So a VM that is asked says what it knows and who the home is,
-and the operator's command goes on to ask there.
+Any VM can compute the default target, home and backup of a flow; only the home
+has the flow's record. A VM therefore responds with the facts that it has and
+with the address of the home, and the operator's command then sends the same
+request to the home.
 """
 
 import ipaddress
@@ -25,7 +26,7 @@
 
 
 def parse_flow(text: str) -> packet.FlowKey:
-    """Read a flow in the form in which the logs write it.
+    """Parse a flow key in the notation of the logs.
 
     Args:
         text: ``tcp/CALLER:PORT>SERVICE:PORT`` or the same with ``udp``.
@@ -34,23 +35,25 @@
         The flow's key.
 
     Raises:
-        ValueError: The text has another form.
+        ValueError: The text is not in this notation.
     """
     name, _, rest = text.partition("/")
     caller, separator, served = rest.partition(">")
     if name not in _PROTOCOLS or not separator:
-        raise ValueError(f"{text!r} is not like tcp/10.9.0.1:4000>10.1.0.1:443")
+        raise ValueError(
+            f"{text!r} is not a flow such as tcp/10.9.0.1:4000>10.1.0.1:443"
+        )
     source, destination = packet.address(caller), packet.address(served)
     return packet.FlowKey(_PROTOCOLS[name], *source, *destination)
 
 
 class Explainer:
-    """Collects what one VM knows of a flow or a target."""
+    """Collects the facts that one VM has about a flow or a target."""
 
     def __init__(
         self, shared: tables.Tables, kept: keeper.Keeper, fleet: membership.Membership
     ) -> None:
-        """Read from the parts of an engine; nothing is changed."""
+        """Create an explainer that reads the parts of an engine."""
         self._tables = shared
         self._keeper = kept
         self._fleet = fleet
@@ -58,14 +61,14 @@
     def explain(
         self, now_ms: int, asked: wire.ExplainFlow | wire.ExplainTarget
     ) -> wire.Explained:
-        """Answer an operator's question.
+        """Respond to an operator's request to explain a flow or a target.
 
         Args:
             now_ms: Present time in milliseconds.
-            asked: What to explain.
+            asked: The request, which names the flow or target.
 
         Returns:
-            Facts in the order in which a reader wants them.
+            Facts in the order in which they are printed.
 
         Raises:
             errors.MessageInvalidError: The flow key is malformed.
@@ -90,7 +93,7 @@
             key.protocol, key.service_ip, key.service_port
         )
         if flow_service is None:
-            return {**facts, "reason": "no rule names this address"}
+            return {**facts, "reason": "no rule has this address"}
         place = current.locate(key, flow_service)
         default = place.default.name if place.default is not None else NONE
         facts["service"] = flow_service.name
@@ -137,7 +140,7 @@
         current = self._tables.epochs.current
         known = current.config.targets.get(name) if current is not None else None
         if known is None:
-            return {**facts, "reason": "no rule names this target"}
+            return {**facts, "reason": "no rule has this target"}
         facts.update(_rule_facts(known))
         suspected = self._tables.health.suspected(now_ms, name)
         facts["suspected"] = _yes_no(suspected)
@@ -164,7 +167,7 @@
 
 def _target_reason(known: target.Target, suspected: bool, flows: int) -> str:
     if not known.accepts:
-        cause = "its line has left the rules" if known.retired else "a drain rule"
+        cause = "its removal from the rules" if known.retired else "a drain rule"
         left = f"{flows} open flows stay until they end" if flows else "it is empty"
         return f"gets no new flow because of {cause}; {left}"
     if suspected:
@@ -177,16 +180,22 @@
     if known == NONE:
         if facts["home"] != me:
             return "this VM is not the home; the home decides"
-        return "no record here: the flow has not begun, has ended or was not asked for"
+        return (
+            "no record here: the flow has not begun, has ended, or no inquiry about "
+            "it was sent to former homes"
+        )
     if facts["origin"] == "guessed":
-        return "no VM had a record; tried until a target answers"
+        return "no VM had a record; possible targets are tried until one answers"
     if known == facts["default_target"]:
-        return "on the default target that hashing gives under this configuration"
+        return "on the default target that hashing selects under this configuration"
     if flow_service.retired:
-        return "its service has left the rules; the flow stays where it began"
+        return (
+            "its service was removed from the rules; the flow stays on the target "
+            "where it began"
+        )
     return (
-        "not on its default target: placed elsewhere when it opened, for load or "
-        "silence, or the default changed after it opened"
+        "not on its default target: the default was loaded or silent when the flow "
+        "opened, or the default changed afterwards"
     )
 
 
--- a/eelgrasswick/homes/guess.py
+++ b/eelgrasswick/homes/guess.py
@@ -1,8 +1,9 @@
-"""Flows of whose target a home has no record, or a doubtful one.
+"""Finds the target of a flow for which the home has no record or a doubtful one.
 
-A packet in the middle of such a flow goes to the possible targets in turn: the
-one that holds the flow takes it, and any other resets it. Those resets are
-held back from the caller until every possible target has sent one.
+The home sends a packet from the middle of such a flow to the possible targets
+in turn: the one that holds the flow accepts it, and any other resets it. The
+home holds those resets back from the caller until every possible target has
+sent one.
 """
 
 import typing
@@ -20,24 +21,26 @@
 
 MAX_CANDIDATES: typing.Final = 16
 _COUNT: typing.Final = message.Counter
-_MAX_VIEWS: typing.Final = 2
+# With more default targets in the window, the former home's choice is ambiguous.
+_MAX_DEFAULTS: typing.Final = 2
 
 
 class Guesser:
-    """Finds targets of flows that nobody could name."""
+    """Finds targets of flows of which no VM has a record."""
 
     def __init__(self, name: str, shared: tables.Tables) -> None:
-        """Guess as the VM ``name``."""
+        """Create the guesser of the VM ``name``."""
         self._name = name
         self._tables = shared
 
     def begin(
         self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
     ) -> flow.Record | None:
-        """Record a guess for a flow; None when no target may see its packets."""
-        # The address belonged to another service before, or may belong to one
-        # by newer rules that this VM has not got yet: the packet may be meant
-        # for that one, and no target of this one may see it.
+        """Record a guess for a flow; return None if no target may get its packets."""
+        # The address belonged to another service before, or may belong to
+        # another one under newer rules that this VM has not received yet. The
+        # packet may be meant for that service, and no target of this service
+        # may receive it.
         doubtful = flow_service.reused or (
             flow_service.retired and self._tables.epochs.behind
         )
@@ -65,12 +68,13 @@
         flow_service: service.Service,
         record: flow.Record,
     ) -> None:
-        """Doubt a flow whose caller has answered another target's SYN-ACK."""
-        # While zones are cut off from each other, or views differ, a repeated
-        # SYN can be placed on a second target by a second home. The caller
-        # answers one of them. The other would reset the caller's packets, and
-        # passed on as valid that reset would break an open flow. So the home
-        # whose target the caller did not answer takes the flow for unknown.
+        """Mark a flow as guessed whose caller acknowledged another SYN-ACK."""
+        # During a network partition, or while views differ, a second home can
+        # place a retransmitted SYN on a second target. The caller acknowledges
+        # the SYN-ACK of one of the two. The other target would reset the
+        # caller's packets, and that reset would break an open flow if it were
+        # forwarded as valid. The home whose target the caller did not
+        # acknowledge therefore treats the flow's target as unknown.
         record.syn_ack_sequence = None
         record.origin = flow.Origin.GUESSED
         record.first_packet = item
@@ -84,8 +88,8 @@
 
         Args:
             key: The flow.
-            flow_service: Its service.
-            record: The guess; it points to the next target afterwards.
+            flow_service: Service to which the flow goes.
+            record: The guess; its target is changed to the next one.
 
         Returns:
             False when no possible target is left.
@@ -117,12 +121,12 @@
         names = [name for name in found if name in present]
         return [present[name] for name in names[:MAX_CANDIDATES]]
 
-    # First datagrams.
+    # The first datagrams of UDP flows.
 
     def all_owners_reachable(
         self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
     ) -> bool:
-        """Tell whether every VM that may have placed a flow can be asked."""
+        """Return whether every VM that may have placed the flow is reachable."""
         former = self._tables.epochs.earlier_owners(now_ms, key, flow_service)
         peers = self._tables.peers
         return all(name == self._name or peers.reachable(name) for name in former)
@@ -130,19 +134,19 @@
     def agreed_target(
         self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
     ) -> target.Target | None:
-        """Return where a former home that can't be asked would place a flow.
+        """Return the target on which an unreachable former home would place a flow.
 
-        That home may have started this very request. It chose the default
-        target of its own rules, which knows the requests it ran; on any other
-        target the request would run twice.
+        The former home may have started this same request. It chose the default
+        target under its own rules, and that target detects a request that it
+        has already run; on any other target the request would run twice.
 
         Returns:
-            The target, or None when it is not clear or takes no new flow.
+            The target, or None when it is ambiguous or takes no new flow.
         """
         current = self._tables.epochs.current
         assert current is not None
         defaults = self._tables.epochs.recent_defaults(now_ms, key, flow_service)
-        if not 0 < len(defaults) <= _MAX_VIEWS:
+        if not 0 < len(defaults) <= _MAX_DEFAULTS:
             return None
         present = current.config.targets.get(defaults[-1].name)
         return present if present is not None and present.accepts else None
--- a/eelgrasswick/homes/hint.py
+++ b/eelgrasswick/homes/hint.py
@@ -1,4 +1,4 @@
-"""What a VM knows of flows for which it is not the home."""
+"""Targets of flows of which this VM is not the home."""
 
 import typing
 
@@ -10,40 +10,50 @@
 
 
 class Hint(typing.NamedTuple):
-    """The target of one flow, as lately seen or told."""
+    """The target of one flow, as recently observed or received from a VM.
+
+    Attributes:
+        target: Target of the flow.
+        expires_ms: When the hint expires unless it is confirmed.
+    """
 
     target: target.Target
     expires_ms: int
 
 
 class HintTable:
-    """Remembers targets of flows for a while, up to a number of flows.
+    """Stores targets of flows for a limited time, up to a number of flows.
 
-    Entry VMs learn them from answers, which come straight from the target and
-    so cannot be wrong, and from homes. They spare the detour by the home and
-    outlive it.
+    An entry VM gets them from answers, which come directly from the target and
+    therefore can't be wrong, and from homes. Hints save the detour through the
+    home and outlive the home.
     """
 
     def __init__(self, ttl_ms: int, capacity: int) -> None:
-        """Keep each hint for ``ttl_ms`` after it was last confirmed."""
+        """Create an empty table.
+
+        Args:
+            ttl_ms: Lifetime of a hint after it was last confirmed, milliseconds.
+            capacity: Greatest number of hints; further flows are not stored.
+        """
         self._ttl_ms = ttl_ms
         self._capacity = capacity
         self._hints: dict[packet.FlowKey, Hint] = {}
         self._wheel: _wheel.Wheel[packet.FlowKey] = _wheel.Wheel()
 
     def __len__(self) -> int:
-        """Return the number of hints held."""
+        """Return the number of stored hints."""
         return len(self._hints)
 
     def get(self, now_ms: int, flow: packet.FlowKey) -> target.Target | None:
-        """Return the target of a flow when a hint is still good."""
+        """Return the target of a flow if there is a hint that has not expired."""
         hint = self._hints.get(flow)
         if hint is None or hint.expires_ms < now_ms:
             return None
         return hint.target
 
     def learn(self, now_ms: int, flow: packet.FlowKey, chosen: target.Target) -> None:
-        """Remember or confirm the target of a flow."""
+        """Store or confirm the target of a flow."""
         known = flow in self._hints
         if not known and len(self._hints) >= self._capacity:
             return
@@ -52,15 +62,15 @@
             self._wheel.add(flow, now_ms + self._ttl_ms)
 
     def remove(self, flow: packet.FlowKey) -> None:
-        """Drop the hint of a flow, if any."""
+        """Remove the hint of a flow, if any."""
         self._hints.pop(flow, None)
 
     def clear(self) -> None:
-        """Drop all hints."""
+        """Remove all hints."""
         self._hints.clear()
 
     def expire(self, now_ms: int) -> None:
-        """Drop hints that were not confirmed in time."""
+        """Remove the hints that were not confirmed within their lifetime."""
         for flow in self._wheel.due(now_ms):
             hint = self._hints.get(flow)
             if hint is None:
@@ -73,7 +83,12 @@
     def update_targets(
         self, valid: typing.Callable[[target.Target], target.Target | None]
     ) -> None:
-        """Replace each target by its present form and drop those that are gone."""
+        """Replace each target by its current version and remove outdated hints.
+
+        Args:
+            valid: Returns the current version of a target, or None if the
+                target may no longer be used.
+        """
         for flow, hint in list(self._hints.items()):
             present = valid(hint.target)
             if present is None:
@@ -82,5 +97,5 @@
                 self._hints[flow] = hint._replace(target=present)
 
     def items(self) -> list[tuple[packet.FlowKey, target.Target]]:
-        """Return flows and their targets."""
+        """Return all flow keys with their targets."""
         return [(flow, hint.target) for flow, hint in self._hints.items()]
--- a/eelgrasswick/homes/home.py
+++ b/eelgrasswick/homes/home.py
@@ -1,4 +1,4 @@
-"""Decisions for the flows of which this VM is the home."""
+"""Decisions about packets of the flows of which this VM is the home."""
 
 import typing
 
@@ -20,13 +20,13 @@
 
 
 class _Arrival(typing.NamedTuple):
-    """A packet of a flow at its home.
+    """A packet that arrived at the home of its flow.
 
     Attributes:
-        now_ms: When it came.
+        now_ms: Time of arrival, milliseconds since 1970.
         item: The packet.
-        key: Its flow.
-        flow_service: The flow's service.
+        key: Key of the packet's flow.
+        flow_service: Service to which the flow goes.
     """
 
     now_ms: int
@@ -36,16 +36,16 @@
 
 
 class Home:
-    """Places new flows, and finds out where unknown ones are.
+    """Places new flows, and finds the targets of flows without a record.
 
     Public methods take ``now_ms``, the present time in milliseconds since 1970
-    as the caller's clock gives it.
+    according to the clock of the code that calls them.
     """
 
     def __init__(
         self, name: str, shared: tables.Tables, opening: opener.Opener
     ) -> None:
-        """Decide as the VM ``name``; new flows go through ``opening``."""
+        """Create the home of the VM ``name``; ``opening`` admits new flows."""
         self._name = name
         self._tables = shared
         self._opener = opening
@@ -64,7 +64,7 @@
         record = self._tables.flows.get(key)
         arrival = _Arrival(now_ms, item, key, flow_service)
         if record is None:
-            self._unknown(arrival)
+            self._handle_unrecorded(arrival)
         elif item.opens:
             self._open_again(arrival, record)
         elif record.acknowledges_other_target(item):
@@ -85,7 +85,7 @@
         record = self._tables.flows.get(key)
         arrival = _Arrival(now_ms, item, key, flow_service)
         if record is None:
-            self._answer_unknown(arrival, sender)
+            self._answer_unrecorded(arrival, sender)
         elif record.target.name != sender.name:
             self._answer_stray(arrival, sender, record)
         elif item.resets:
@@ -94,27 +94,28 @@
             self._answer_known(arrival, record)
 
     def cancel(self, key: packet.FlowKey) -> None:
-        """Stop deciding about a flow, as another VM does now."""
+        """Stop deciding about a flow, because another VM now decides about it."""
         self._opener.cancel(key)
 
     def take_response(
         self, now_ms: int, sender: str, key: packet.FlowKey, name: str
     ) -> None:
-        """Take a former home's answer about a flow."""
+        """Handle the response of a former home to an inquiry about a flow."""
         settled = self._inquiries.record_response(sender, key, name)
         if settled is not None:
             self._settle(now_ms, settled)
 
     def delegate_to(self, now_ms: int, key: packet.FlowKey, asker: str) -> bool:
-        """Leave a flow that is unknown here to the VM that asks for it.
+        """Delegate a flow without a record here to the VM that inquires about it.
 
         Args:
             now_ms: Present time in milliseconds.
             key: The flow.
-            asker: Name of the VM that asks.
+            asker: Name of the VM that sent the inquiry.
 
         Returns:
-            False when this VM is asking for the same flow and goes first.
+            False when this VM has an open inquiry about the same flow and takes
+            precedence, because its name sorts first.
         """
         if self._inquiries.is_open(key) and self._name < asker:
             return False
@@ -123,39 +124,44 @@
         return True
 
     def delegate_of(self, now_ms: int, key: packet.FlowKey) -> str | None:
-        """Return the VM to which this one has left a flow, if it is there."""
+        """Return the VM to which a flow is delegated, if that VM is reachable.
+
+        A flow of which this VM has a record by now is no longer delegated.
+        """
         name = self._delegated.get(now_ms, key)
         if name is None or self._tables.flows.get(key) is not None:
             return None
         return name if self._tables.peers.reachable(name) else None
 
     def end_delegations(self) -> None:
-        """End all leave given to other VMs, because homes may have changed."""
-        # Left to a VM that is no longer the home, a flow's packets would go to
-        # and fro between the two until each of its callers gives up.
+        """End all delegations to other VMs, because homes may have changed."""
+        # If a flow stayed delegated to a VM that is no longer its home, the two
+        # VMs would forward its packets to each other until the caller gives up.
         self._delegated.clear()
 
     def clear(self) -> None:
-        """Drop the packets that wait for answers of former homes."""
+        """Drop the packets that wait for responses of former homes."""
         self._inquiries.clear()
 
     def tick(self, now_ms: int) -> None:
-        """Settle inquiries that got no answer and note silent targets."""
+        """Settle inquiries whose responses are overdue, and run the opener."""
         for settled in self._inquiries.overdue(now_ms):
             self._settle(now_ms, settled)
         self._delegated.expire(now_ms)
         self._opener.tick(now_ms)
 
-    # Packets of callers.
+    # Packets from callers.
 
     def _continue(self, arrival: _Arrival, record: flow.Record) -> None:
         item = arrival.item
         record.last_packet_ms = arrival.now_ms
         record.syn_ack_sequence = None
         if record.state is flow.State.OPENING:
-            # The caller has met a target whose SYN-ACK took its way over
-            # another VM, which has or had other views. Most likely it is this
-            # one; if another one, a reset by this one must not be passed on.
+            # The caller has received a SYN-ACK through another VM, whose view
+            # of the fleet differs or differed from this VM's. The SYN-ACK most
+            # likely came from the recorded target. In case it came from another
+            # target, the flow is marked as guessed, so that a reset by the
+            # recorded target is not forwarded to the caller.
             record.state = flow.State.OPEN
             record.origin = flow.Origin.GUESSED
         if record.origin is flow.Origin.GUESSED:
@@ -175,21 +181,24 @@
         record.last_packet_ms = now_ms
         silent = self._opener.should_retry(now_ms, record)
         if record.state is flow.State.OPENING and silent:
-            # The target has not answered the SYN and looks dead. Nothing but
-            # the SYN was sent, so no work can have begun; should the target
-            # answer late, the home drops its SYN-ACK as a stray. Without this
-            # a caller would wait for a dead target until it gives up.
+            # The target has not answered the SYN and is probably dead. The home
+            # has sent it only the SYN, so no work can have begun. If the target
+            # answers late, the home drops its SYN-ACK as a stray packet.
+            # Without the move, the caller would wait for a dead target until it
+            # gives up.
             self._opener.move(now_ms, key, flow_service, record)
         self._send_to_target(record.target, item)
 
-    def _unknown(self, arrival: _Arrival) -> None:
+    def _handle_unrecorded(self, arrival: _Arrival) -> None:
         now_ms, item, key, flow_service = arrival
         shared = self._tables
         if self._opener.take_if_waiting(item, key):
             return
         known = shared.hints.get(now_ms, key)
         known = known or shared.replicator.copies.get(now_ms, key)
-        # A copy can outlive its flow, and a SYN opens another on a used port.
+        # The copy of an exception can outlive its flow, and the caller can open
+        # another flow from the same port. A SYN therefore follows a hint or a
+        # copy only to a target that takes new flows.
         if known is not None and (known.accepts or not item.opens):
             self._adopt(arrival, known)
             return
@@ -250,7 +259,7 @@
         flow_service: service.Service,
         known: target.Target,
     ) -> flow.Record:
-        """Record a flow whose target has become known for sure; return the record."""
+        """Record a flow whose target is certain, and return the record."""
         record = flow.Record(
             known,
             flow.Origin.LEARNED,
@@ -263,12 +272,13 @@
         self._opener.replicate(key, flow_service, known)
         return record
 
-    # Packets of targets.
+    # Packets from targets.
 
-    def _answer_unknown(self, arrival: _Arrival, sender: target.Target) -> None:
+    def _answer_unrecorded(self, arrival: _Arrival, sender: target.Target) -> None:
         if arrival.item.resets:
-            # Whether this target holds the flow is not known here. The reset
-            # may answer a packet that another VM sent on a wrong guess.
+            # This VM has no record that shows whether the target holds the
+            # flow. The reset may answer a packet that another VM sent to a
+            # wrongly guessed target.
             self._tables.outbox.count(_COUNT.RESETS_HELD_BACK)
             return
         record = self.learn(arrival.now_ms, arrival.key, arrival.flow_service, sender)
@@ -286,7 +296,7 @@
         self._tables.outbox.count(_COUNT.ANSWERS_STRAY)
 
     def confirm_target(self, key: packet.FlowKey, sender: target.Target) -> None:
-        """Take an answer as proof of where a guessed flow is."""
+        """Record the sender of an answer as the target of a guessed flow."""
         record = self._tables.flows.get(key)
         if record is None or record.origin is not flow.Origin.GUESSED:
             return
@@ -310,7 +320,8 @@
             return
         opening = record.state is flow.State.OPENING
         if opening and item.refuses_open and record.first_packet is not None:
-            # The target shed the flow before any work, so another may take it.
+            # The target refused the flow before it began any work, so the flow
+            # can be opened at another target.
             self._tables.health.unanswered(now_ms, record.target.name)
             if self._opener.move(now_ms, key, flow_service, record):
                 self._send_to_target(record.target, record.first_packet)
@@ -335,7 +346,7 @@
             record.target_finished = True
             self._close_if_done(arrival, record)
 
-    # Ends of flows.
+    # The ends of flows.
 
     def _close_if_done(self, arrival: _Arrival, record: flow.Record) -> None:
         if record.caller_finished and record.target_finished:
--- a/eelgrasswick/homes/inquiry.py
+++ b/eelgrasswick/homes/inquiry.py
@@ -1,9 +1,10 @@
-"""Asking former homes where a flow is, while its packets wait.
+"""Inquiries to former homes about the target of a flow, while its packets wait.
 
-When VMs come or go, or a new configuration moves flows, a VM becomes the home
-of flows that another VM placed a moment ago. Placing them anew could start the
-same flow on a second target. So the new home asks the former ones first, and
-waits for them no longer than ``RESPONSE_TIMEOUT_MS``.
+When VMs join or leave, or a new configuration moves flows, a VM becomes the
+home of flows that another VM placed shortly before. If it placed them again, it
+could start the same flow on a second target. The new home therefore sends an
+inquiry to the former ones first, and waits for their responses for at most
+``RESPONSE_TIMEOUT_MS``.
 """
 
 import typing
@@ -23,13 +24,14 @@
 
 
 class InquiryResult(typing.NamedTuple):
-    """The end of an inquiry.
+    """The result of a settled inquiry.
 
     Attributes:
-        flow: The flow asked about.
-        packets: Its packets that waited, in order.
-        target: Name of its target, or empty when nobody knows it.
-        certain: True when every VM that was asked has answered.
+        flow: Key of the flow.
+        packets: The packets of the flow that waited, in order.
+        target: Name of the flow's target, or empty when no VM has it.
+        certain: True when a VM has named the target or every VM that was sent
+            the inquiry has responded.
     """
 
     flow: packet.FlowKey
@@ -44,35 +46,35 @@
 
 
 class Delegations:
-    """Flows that this VM has left to another one, which asked for them.
+    """Flows that this VM has delegated to another VM, which inquired about them.
 
-    A VM that answers "not known" must not place the flow afterwards: it may
-    have older rules than the asker, and a repeated first packet that reaches it
-    would start the same request on a second target.
+    A VM that responds that it has no record must not place the flow afterwards:
+    it may have older rules than the VM that inquired, and a retransmitted first
+    packet that reaches it would start the same request on a second target.
     """
 
     def __init__(self) -> None:
-        """Start with no flow left to another VM."""
+        """Create an empty table of delegations."""
         self._delegated: dict[packet.FlowKey, _Delegation] = {}
         self._wheel: _wheel.Wheel[packet.FlowKey] = _wheel.Wheel()
 
     def add(self, now_ms: int, key: packet.FlowKey, name: str) -> None:
-        """Leave a flow to the VM ``name`` for a while."""
+        """Delegate a flow to the VM ``name`` for ``DELEGATION_TTL_MS``."""
         if len(self._delegated) < MAX_DELEGATIONS:
             self._delegated[key] = _Delegation(name, now_ms + DELEGATION_TTL_MS)
             self._wheel.add(key, now_ms + DELEGATION_TTL_MS)
 
     def get(self, now_ms: int, key: packet.FlowKey) -> str | None:
-        """Return the VM to which a flow is left."""
+        """Return the VM to which a flow is delegated, if any."""
         found = self._delegated.get(key)
         return found.name if found is not None and found.expires_ms > now_ms else None
 
     def clear(self) -> None:
-        """Leave no flow to another VM any more."""
+        """Remove all delegations."""
         self._delegated.clear()
 
     def expire(self, now_ms: int) -> None:
-        """Drop what is over."""
+        """Remove the delegations that have expired."""
         for key in self._wheel.due(now_ms):
             found = self._delegated.get(key)
             if found is not None and found.expires_ms <= now_ms:
@@ -89,15 +91,19 @@
 
 
 class Inquiries:
-    """The inquiries of one home that are still open."""
+    """The inquiries of one home that are not settled yet."""
 
     def __init__(self, peers: peer.Peers) -> None:
-        """Ask through ``peers``."""
+        """Create an empty set of inquiries, which are sent through ``peers``."""
         self._peers = peers
         self._open: dict[packet.FlowKey, _Open] = {}
 
     def append_if_open(self, key: packet.FlowKey, item: packet.Packet) -> bool:
-        """Let a packet wait with an open inquiry; False when there is none."""
+        """Append a packet to an open inquiry; return False if there is none.
+
+        Above ``MAX_PACKETS_PER_FLOW`` the packet is dropped; its sender
+        retransmits it.
+        """
         found = self._open.get(key)
         if found is None:
             return False
@@ -108,9 +114,9 @@
     def start(
         self, now_ms: int, key: packet.FlowKey, item: packet.Packet, names: list[str]
     ) -> None:
-        """Ask VMs about a flow and let its packet wait.
+        """Send an inquiry about a flow to VMs and let the flow's packet wait.
 
-        Above ``MAX_INQUIRIES`` the packet is dropped; its sender repeats it.
+        Above ``MAX_INQUIRIES`` the packet is dropped; its sender retransmits it.
         """
         if len(self._open) >= MAX_INQUIRIES:
             return
@@ -121,7 +127,7 @@
     def record_response(
         self, sender: str, key: packet.FlowKey, name: str
     ) -> InquiryResult | None:
-        """Take one VM's answer; return the end when it settles the inquiry."""
+        """Record one VM's response; return the result if it settles the inquiry."""
         found = self._open.get(key)
         if found is None or sender not in found.asked:
             return None
@@ -132,19 +138,19 @@
         return InquiryResult(key, tuple(found.packets), name, True)
 
     def cancel(self, key: packet.FlowKey) -> None:
-        """Drop an inquiry and its packets, which their sender repeats."""
+        """Drop an inquiry and its packets, which their sender retransmits."""
         self._open.pop(key, None)
 
     def is_open(self, key: packet.FlowKey) -> bool:
-        """Tell whether an inquiry about a flow is open."""
+        """Return whether an inquiry about a flow is open."""
         return key in self._open
 
     def clear(self) -> None:
-        """Drop all inquiries and the packets that wait with them."""
+        """Drop all inquiries and the packets that wait for them."""
         self._open.clear()
 
     def overdue(self, now_ms: int) -> list[InquiryResult]:
-        """End the inquiries whose time is over."""
+        """Settle the inquiries whose response timeout has expired."""
         late = [key for key, item in self._open.items() if item.due_ms <= now_ms]
         return [
             InquiryResult(key, tuple(self._open.pop(key).packets), "", False)
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -1,4 +1,4 @@
-"""Lets new flows in, places them on targets and moves them while it is safe."""
+"""Admits new flows, places them on targets and moves them while that is safe."""
 
 import collections
 import datetime
@@ -27,11 +27,18 @@
 
 _COUNT: typing.Final = message.Counter
 _DAY_MS: typing.Final = 86_400_000
+# After this time the caller retransmits its SYN itself.
 SYN_REPEAT_WINDOW_MS: typing.Final = 1000
 
 
 class UnansweredOpening(typing.NamedTuple):
-    """An opening packet whose answer is still to come."""
+    """An opening packet that the target has not answered yet.
+
+    Attributes:
+        due_ms: When the target counts as silent.
+        flow: Key of the flow.
+        record: Record of the flow when the packet was sent.
+    """
 
     due_ms: int
     flow: packet.FlowKey
@@ -39,65 +46,73 @@
 
 
 class Opener:
-    """Decides about flows that begin at this home."""
+    """Decides about flows that begin at this home.
+
+    Attributes:
+        chooser: The placement policy, with the measurements that it uses.
+    """
 
     def __init__(
         self, name: str, shared: tables.Tables, policy: placement.Placement
     ) -> None:
-        """Decide as the VM ``name`` with a placement policy."""
+        """Create the opener of the VM ``name`` with a placement policy."""
         self._name = name
         self._tables = shared
         self._selector = selector.Selector(shared, policy)
         self.chooser = self._selector.chooser
         self._pending = pending.Pending(name, shared)
-        self._opening: collections.deque[UnansweredOpening] = collections.deque()
+        self._unanswered: collections.deque[UnansweredOpening] = collections.deque()
 
     def tick(self, now_ms: int) -> None:
-        """Note silent targets, and serve or refuse what waits."""
-        while self._opening and self._opening[0].due_ms <= now_ms:
-            self._note_silence(now_ms, self._opening.popleft())
+        """Record silent targets, and place or refuse waiting flows."""
+        while self._unanswered and self._unanswered[0].due_ms <= now_ms:
+            self._handle_silence(now_ms, self._unanswered.popleft())
         self._selector.tick(now_ms)
         for name in self._pending.waiting_services():
-            self._serve(now_ms, name)
+            self._serve_queue(now_ms, name)
 
     def take_if_waiting(self, item: packet.Packet, key: packet.FlowKey) -> bool:
-        """Take a packet of a flow that waits; False when it does not wait."""
+        """Handle a packet if its flow waits; return False if it does not."""
         return self._pending.take_if_waiting(item, key)
 
     def cancel(self, key: packet.FlowKey) -> None:
-        """Stop deciding about a waiting flow, as another VM does now."""
+        """Drop a waiting flow, because another VM now decides about it."""
         self._pending.cancel(key)
 
     def should_retry(self, now_ms: int, record: flow.Record) -> bool:
-        """Tell whether an opening flow should try another target.
+        """Return whether an opening flow should try another target.
 
-        Two openings of its own without an answer are enough. Were the flow to
-        wait until the target is suspected, it could be sent to the same dead
-        target each time that the suspicion has just lapsed.
+        A flow tries another target once two opening packets of its own have
+        stayed unanswered. If the flow always waited until the target is
+        suspected, it could be sent to the same dead target each time that the
+        suspicion has just expired.
         """
         if now_ms - record.opened_ms >= 2 * health.ANSWER_MS:
             return True
         return self._tables.health.suspected(now_ms, record.target.name)
 
     def note_accepted(self, now_ms: int, record: flow.Record) -> None:
-        """Note that a target has accepted a flow."""
+        """Record that a target has accepted a flow."""
         opening_ms = now_ms - record.opened_ms
         self._selector.answered(now_ms, record.target.name, opening_ms)
 
     def note_ended(
         self, now_ms: int, key: packet.FlowKey, record: flow.Record, reset: bool
     ) -> None:
-        """Learn from a flow that has ended, and use the room it leaves."""
+        """Update the measurements after a flow ended, and place waiting flows.
+
+        The slot that the flow occupied at its target is free again.
+        """
         name = record.target.name
         if record.origin is flow.Origin.PLACED:
             life_ms = now_ms - record.opened_ms
             self.chooser.end(now_ms, key.packed, name, life_ms, reset)
         else:
             self.chooser.work.end(key.packed)
-        self._serve(now_ms, record.target.service)
+        self._serve_queue(now_ms, record.target.service)
 
-    def _serve(self, now_ms: int, name: str) -> None:
-        """Place what waits for a service, in turn, and refuse what is late."""
+    def _serve_queue(self, now_ms: int, name: str) -> None:
+        """Refuse the overdue flows of a service and place the others in turn."""
         current = self._tables.epochs.current
         flow_service = (
             current.config.services.get(name) if current is not None else None
@@ -141,10 +156,11 @@
         flow_service: service.Service,
         record: flow.Record,
     ) -> None:
-        """Handle a SYN on a flow whose record still lingers."""
-        # The caller uses its port again while other VMs may hold a hint of the
-        # old flow. On another target the new flow would be reset by packets
-        # that follow those hints; on the same target they are right.
+        """Handle a SYN of a flow whose record is closed and not yet expired."""
+        # The caller reuses its port while other VMs may still hold a hint of
+        # the closed flow. If the new flow were on another target, packets that
+        # follow those hints would go to the old target, whose resets would end
+        # the new flow. On the same target the hints are right.
         refusal = self._refusal(now_ms, key, flow_service)
         present = self._tables.epochs.current
         assert present is not None
@@ -165,20 +181,21 @@
         certain: bool,
         preset: target.Target | None = None,
     ) -> None:
-        """Let a new flow in and place it, or refuse it.
+        """Admit a new flow and place it, let it wait, or refuse it.
 
         Args:
             now_ms: Present time in milliseconds.
             item: The first packet of the flow.
             key: The flow.
-            flow_service: Its service.
+            flow_service: Service to which the flow goes.
             certain: False when another VM may have placed the flow already.
-            preset: Target on which that VM would have placed it, if known.
+            preset: Target on which that VM would have placed the flow; None to
+                choose one by the placement policy.
         """
         refusal = self._refusal(now_ms, key, flow_service)
         chosen = None
         if refusal is None and item.opens:
-            refusal = self._enter(now_ms, item, key, flow_service)
+            refusal = self._place_or_wait(now_ms, item, key, flow_service)
             if refusal is None:
                 return
         elif refusal is None:
@@ -190,20 +207,25 @@
         if chosen is not None:
             self.place(now_ms, item, key, flow_service, chosen)
         elif item.protocol == packet.Protocol.UDP and not certain:
-            # A former home may have sent this very datagram to a target. Told
-            # "not run", the caller would send it again and it would run twice.
+            # A former home may have sent this same datagram to a target. If
+            # this home answered that the request has not run, the caller would
+            # send it again and the request would run twice.
             self._tables.outbox.count(_COUNT.PACKETS_UNKNOWN_FLOW)
         else:
             self.refuse(item, key, refusal)
 
-    def _enter(
+    def _place_or_wait(
         self,
         now_ms: int,
         item: packet.Packet,
         key: packet.FlowKey,
         flow_service: service.Service,
     ) -> admission.Refusal | None:
-        """Place a TCP flow or let it wait; return why when it may do neither."""
+        """Place a TCP flow or let it wait.
+
+        Returns:
+            The refusal when the flow may neither be placed nor wait.
+        """
         queue = self._pending.queue(flow_service)
         if len(queue):
             return self._pending.offer(now_ms, item, key, queue)
@@ -230,7 +252,7 @@
             flows.open_by_service[flow_service.name],
             flows.open_by_caller[caller],
         )
-        return admission.admit(demand, _spread(key))
+        return admission.admit(demand, _hash_fraction(key))
 
     def _share(self) -> float:
         current = self._tables.epochs.current
@@ -245,7 +267,7 @@
         flow_service: service.Service,
         chosen: target.Target,
     ) -> None:
-        """Record a new flow on a target and send it the first packet."""
+        """Record a new flow on a target and send the target its first packet."""
         opening = item.opens
         state = flow.State.OPENING if opening else flow.State.OPEN
         record = flow.Record(
@@ -253,7 +275,7 @@
         )
         if opening:
             record.first_packet = item
-            self._opening.append(
+            self._unanswered.append(
                 UnansweredOpening(now_ms + health.ANSWER_MS, key, record)
             )
         self._tables.flows.add(key, record)
@@ -270,7 +292,7 @@
         flow_service: service.Service,
         record: flow.Record,
     ) -> bool:
-        """Point an opening flow to another target; False when it must stay."""
+        """Move an opening flow to another target; return False if it must stay."""
         if not self.chooser.retry.spend():
             return False
         ruled_out = record.ruled_out | {record.target.name}
@@ -289,17 +311,19 @@
         self._tables.flows.move(key, record, chosen)
         self.chooser.move(now_ms, key.packed, chosen.name)
         self._tables.outbox.count(_COUNT.FLOWS_MOVED)
-        self._opening.append(UnansweredOpening(now_ms + health.ANSWER_MS, key, record))
+        self._unanswered.append(
+            UnansweredOpening(now_ms + health.ANSWER_MS, key, record)
+        )
         self.replicate(key, flow_service, chosen)
         return True
 
     def replicate(
         self, key: packet.FlowKey, flow_service: service.Service, chosen: target.Target
     ) -> bool:
-        """Have the backup keep a flow that is not on its default target.
+        """Send the backup a copy of a flow that is not on its default target.
 
         Returns:
-            Whether the flow is such an exception.
+            Whether the flow is an exception, that is, not on its default target.
         """
         current = self._tables.epochs.current
         assert current is not None
@@ -317,7 +341,7 @@
         key: packet.FlowKey,
         refusal: admission.Refusal | None,
     ) -> None:
-        """Tell the caller at once that nothing of its flow has run."""
+        """Send the caller at once a refusal: nothing of its flow has run."""
         assert refusal is not None
         outbox = self._tables.outbox
         outbox.count(_COUNT.FLOWS_REFUSED)
@@ -335,10 +359,10 @@
             )
         )
 
-    def _note_silence(self, now_ms: int, waiting: UnansweredOpening) -> None:
-        key = waiting.flow
+    def _handle_silence(self, now_ms: int, unanswered: UnansweredOpening) -> None:
+        key = unanswered.flow
         record = self._tables.flows.get(key)
-        if record is not waiting.record or record.state is not flow.State.OPENING:
+        if record is not unanswered.record or record.state is not flow.State.OPENING:
             return
         self._tables.health.unanswered(now_ms, record.target.name)
         current = self._tables.epochs.current
@@ -351,9 +375,9 @@
             or not self._pending.is_home(key, flow_service)
         ):
             return
-        self._open_again(now_ms, key, flow_service, record, record.first_packet)
+        self._retransmit_syn(now_ms, key, flow_service, record, record.first_packet)
 
-    def _open_again(
+    def _retransmit_syn(
         self,
         now_ms: int,
         key: packet.FlowKey,
@@ -361,17 +385,18 @@
         record: flow.Record,
         first: packet.Packet,
     ) -> None:
-        """Send an unanswered SYN once more, elsewhere if the target looks dead.
+        """Retransmit an unanswered SYN, to another target if this one seems dead.
 
-        The caller repeats it too, but after a second: when a third of the
-        targets go, that second is what their callers notice. Only the SYN was
-        sent so far, and this home drops a late SYN-ACK of the former target.
+        The caller retransmits the SYN only after a second. When a third of the
+        targets fail, that second is the delay that their callers notice. Moving
+        the flow is safe: only the SYN was sent so far, and this home drops a
+        late SYN-ACK of the former target.
         """
         if now_ms - record.opened_ms >= SYN_REPEAT_WINDOW_MS:
             return
         silent = self.should_retry(now_ms, record)
         if not (silent and self.move(now_ms, key, flow_service, record)):
-            self._opening.append(
+            self._unanswered.append(
                 UnansweredOpening(now_ms + health.ANSWER_MS, key, record)
             )
         self._send_to_target(record.target, first)
@@ -380,10 +405,10 @@
         self._tables.outbox.put(message.SendDatagram(chosen.endpoint, item.raw))
 
 
-def _spread(key: packet.FlowKey) -> float:
+def _hash_fraction(key: packet.FlowKey) -> float:
     return rendezvous.digest(key.packed) / 2**64
 
 
 def _no_target(key: packet.FlowKey) -> admission.Refusal:
-    retry_ms = admission.retry_ms(_spread(key))
+    retry_ms = admission.retry_ms(_hash_fraction(key))
     return admission.Refusal(errors.ErrorKind.NO_TARGET, retry_ms)
--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -1,9 +1,10 @@
 """The path of a packet through any entry VM.
 
-A caller's packet goes straight to its target when this VM knows the target,
-and by the flow's home when it does not. Packets that open, end or reset a flow
-always go by the home, so that one VM sees the whole life of a flow. A target's
-answer goes straight back to the caller, and teaches this VM the flow's target.
+A VM that has a hint of the flow's target sends a caller's packet directly to
+the target; otherwise it forwards the packet to the flow's home. Packets that
+open, end or reset a flow always go through the home, so that one VM sees the
+whole life of a flow. A target's answer goes directly back to the caller, and
+the VM that sends it there stores a hint of the flow's target.
 """
 
 import typing
@@ -28,7 +29,11 @@
 
 
 class Switch:
-    """Handles packets as one VM; the home part decides for its own flows."""
+    """Forwards packets at one VM.
+
+    The ``home.Home`` of the VM decides about the flows of which the VM is the
+    home.
+    """
 
     def __init__(
         self,
@@ -37,7 +42,7 @@
         shared: tables.Tables,
         decider: home.Home,
     ) -> None:
-        """Switch packets as the VM ``name``."""
+        """Create the switch of the VM ``name``."""
         self._name = name
         self._codec = codec
         self._tables = shared
@@ -56,13 +61,13 @@
             self._handle_target_packet(now_ms, item, sender)
 
     def forward(self, now_ms: int, event: wire.Forward) -> None:
-        """Handle a caller's packet that another VM passed on."""
+        """Handle a caller's packet that another VM forwarded."""
         item = self._decode(event.packet)
         if item is not None and self._tables.epochs.current is not None:
             self._handle_caller_packet(now_ms, item, event.hops)
 
     def relay(self, now_ms: int, event: wire.Relay) -> None:
-        """Handle a target's control packet that another VM passed on."""
+        """Handle a target's control packet that another VM forwarded."""
         current = self._tables.epochs.current
         item = self._decode(event.packet)
         if item is None or current is None:
@@ -74,7 +79,11 @@
         self._handle_target_control(now_ms, item, sender, event.hops)
 
     def handle_inquiry(self, now_ms: int, sender: str, event: wire.Ask) -> None:
-        """Answer the present home of a flow that this VM may know."""
+        """Respond to the present home of a flow about the flow's target.
+
+        This VM may have a record, a hint or a copy of the flow from an earlier
+        epoch. If it has none, it delegates the flow to the VM that inquires.
+        """
         key = wire.flow_key(event.flow)
         self._home.cancel(key)
         known = self._known_target(now_ms, key)
@@ -86,7 +95,7 @@
     def handle_inquiry_response(
         self, now_ms: int, sender: str, event: wire.Tell
     ) -> None:
-        """Take a former home's answer."""
+        """Handle the response of a former home to an inquiry of this VM."""
         key = wire.flow_key(event.flow)
         self._home.take_response(now_ms, sender, key, event.target)
 
@@ -213,9 +222,9 @@
     def _service_of(
         self, item: packet.Packet, sender: target.Target
     ) -> service.Service | None:
-        # A target speaks for its own service only. Let through, an answer of a
-        # target that was moved to another service would reach a caller as the
-        # answer of the service it had asked.
+        # A target may send answers of its own service only. If this VM forwarded
+        # the answer of a target that was moved to another service, the caller
+        # would treat it as an answer of the service that it had called.
         current = self._tables.epochs.current
         assert current is not None
         source = item.source
--- a/eelgrasswick/homes/tables.py
+++ b/eelgrasswick/homes/tables.py
@@ -17,7 +17,18 @@
 
 
 class Tables(typing.NamedTuple):
-    """The state that the parts of one VM's data path share."""
+    """The tables and outputs that the parts of one VM's data path share.
+
+    Attributes:
+        epochs: The epoch in force and recent earlier ones.
+        flows: Records of the flows of which this VM is the home.
+        hints: Targets of flows of which another VM is the home.
+        loads: Open flows of targets, as other VMs report them.
+        health: Targets that leave opening packets unanswered.
+        replicator: Copies of exceptions, and what waits to be sent of them.
+        peers: Sends messages to other VMs.
+        outbox: Collects actions and counts.
+    """
 
     epochs: epoch.EpochLog
     flows: flow.FlowTable
