--- a/eelgrasswick/homes/__init__.py
+++ b/eelgrasswick/homes/__init__.py
@@ -1,1 +1,1 @@
-"""Carrying flows through homes: what a VM decides for packets without cookies."""
+"""Forwarding of flows through their homes, for packets without cookies."""
--- a/eelgrasswick/homes/pending.py
+++ b/eelgrasswick/homes/pending.py
@@ -1,8 +1,8 @@
 """The opening packets that wait at this home, by service.
 
-The rules of waiting are in ``waiting``; this part keeps a queue for each
-service and sees to it that a waiting flow never runs after it was refused, and
-never is refused after it ran.
+Module ``waiting`` implements the queueing. This module keeps a queue for each
+service and ensures that a waiting flow never runs after it was refused, and
+is never refused after it ran.
 """
 
 import typing
@@ -19,7 +19,12 @@
 
 
 class WaitingPacket(typing.NamedTuple):
-    """An opening packet that waits."""
+    """An opening packet that waits.
+
+    Attributes:
+        packet: The packet.
+        flow: Key of the packet's flow.
+    """
 
     packet: packet.Packet
     flow: packet.FlowKey
@@ -29,16 +34,16 @@
 
 
 class Pending:
-    """One queue for each service that has waiting flows or had some lately."""
+    """The queues of the services that have or had waiting flows."""
 
     def __init__(self, name: str, shared: tables.Tables) -> None:
-        """Keep queues as the VM ``name``."""
+        """Create the queues of the VM ``name``, none at first."""
         self._name = name
         self._tables = shared
         self._queues: dict[str, Queue] = {}
 
     def queue(self, flow_service: service.Service) -> Queue:
-        """Return the queue of a service."""
+        """Return the queue of a service, which is created if necessary."""
         known = self._queues.setdefault(
             flow_service.name, waiting.Queue(flow_service.wait_ms)
         )
@@ -46,20 +51,21 @@
         return known
 
     def waiting_services(self) -> list[str]:
-        """Return the services in which flows wait."""
+        """Return the names of the services that have waiting flows."""
         return [name for name, known in self._queues.items() if len(known)]
 
     def offer(
         self, now_ms: int, item: packet.Packet, key: packet.FlowKey, queue: Queue
     ) -> admission.Refusal | None:
-        """Let a flow wait, or tell why it may not."""
+        """Let a flow wait; return the refusal if it may not."""
         return queue.offer(now_ms, key.packed, key.caller_ip, WaitingPacket(item, key))
 
     def take_if_waiting(self, item: packet.Packet, key: packet.FlowKey) -> bool:
-        """Take a packet of a flow that waits; False when it does not wait.
+        """Handle a packet if its flow waits; return False if it does not.
 
-        A repeated SYN changes nothing. A RST or FIN tells that the caller has
-        gone: left in the queue, its flow would take a slot for nobody.
+        A retransmitted SYN changes nothing. A RST or FIN shows that the caller
+        has gone: if its flow stayed in the queue, it would occupy a slot without
+        a caller.
         """
         flow = key.packed
         queue = next((q for q in self._queues.values() if flow in q), None)
@@ -70,18 +76,19 @@
         return True
 
     def cancel(self, key: packet.FlowKey) -> None:
-        """Drop a flow because another VM decides about it now.
+        """Drop a flow, because another VM now decides about it.
 
-        The new home is told that this VM does not know the flow, and places it.
-        Placed here too, it would reach two targets; refused here, its caller
-        would be told "not run" of a request that runs.
+        This VM responds to the new home that it has no record of the flow, and
+        the new home places it. If this VM placed the flow too, the flow would
+        reach two targets. If this VM refused the flow, the refusal would state
+        that the request has not run although it runs.
         """
         flow = key.packed
         for queue in self._queues.values():
             queue.cancel(flow)
 
     def is_home(self, key: packet.FlowKey, flow_service: service.Service) -> bool:
-        """Tell whether this VM still decides about a flow."""
+        """Return whether this VM is still the home of a flow."""
         current = self._tables.epochs.current
         return (
             current is not None and current.locate(key, flow_service).home == self._name
--- a/eelgrasswick/homes/rehome.py
+++ b/eelgrasswick/homes/rehome.py
@@ -1,4 +1,4 @@
-"""Moves what this VM knows of flows to their homes after a change of epoch."""
+"""Sends the flow records of this VM to new homes after a change of epoch."""
 
 import typing
 
@@ -15,28 +15,28 @@
 
 
 class Rehomer:
-    """Goes through records and kept exceptions in slices, one slice a tick.
+    """Processes records and copies of exceptions, a batch of them per tick.
 
-    A home can hold hundreds of thousands of flows. Gone through in one go they
-    would hold up packets and heartbeats for a second, and the others would take
-    the VM for dead. Until a flow's turn comes, its former home still answers
-    for it when the new home asks.
+    A home can have hundreds of thousands of flows. Processing all of them at
+    once would delay packets and heartbeats for a second, and the peers would
+    confirm the VM dead. Until a flow has been processed, its former home still
+    responds to inquiries of the new home about it.
     """
 
     def __init__(self, name: str, shared: tables.Tables) -> None:
-        """Work as the VM ``name``."""
+        """Create the rehomer of the VM ``name``."""
         self._name = name
         self._tables = shared
         self._waiting: typing.Iterator[packet.FlowKey] = iter(())
 
     def start(self) -> None:
-        """Begin anew, because homes may have changed."""
+        """Restart with all records and copies, because homes may have changed."""
         records = [key for key, _ in self._tables.flows.items()]
         kept = [key for key, _ in self._tables.replicator.copies.items()]
         self._waiting = iter(records + kept)
 
     def step(self, now_ms: int) -> None:
-        """Go through one slice."""
+        """Process the next ``FLOWS_PER_TICK`` flows."""
         for _ in range(FLOWS_PER_TICK):
             key = next(self._waiting, None)
             if key is None:
@@ -64,7 +64,8 @@
             self._send(key, known, place.home, place.backup)
 
     def _demote(self, now_ms: int, key: packet.FlowKey, record: flow.Record) -> None:
-        # Counted here and at the new home, a flow would fill its target twice.
+        # The record is removed here, because a flow that is counted both here
+        # and at the new home would occupy two slots of its target.
         self._tables.flows.remove(key)
         if _certain(record):
             self._tables.hints.learn(now_ms, key, record.target)
--- a/eelgrasswick/homes/rendezvous.py
+++ b/eelgrasswick/homes/rendezvous.py
@@ -1,9 +1,9 @@
 """Weighted rendezvous hashing over names.
 
-Every VM that holds the same names and weights ranks them alike for a flow, so
-placement needs no message. When a name comes or goes, only the flows that rank
-it first move. The score ``-weight / ln(u)`` follows Schindelhauer and
-Schomaker, "Weighted distributed hash tables" (2005).
+All VMs that have the same names and weights rank them in the same order for a
+flow, so that placement needs no message. When a name is added or removed, only
+the flows that rank it first move. The score ``-weight / ln(u)`` follows
+Schindelhauer and Schomaker, "Weighted distributed hash tables" (2005).
 """
 
 import math
@@ -18,9 +18,9 @@
     """A name that can be chosen, with the hash seed made from it.
 
     Attributes:
-        name: What is chosen.
+        name: Name of a target or VM.
         seed: Seed of the hash for this name.
-        weight: Relative share of the keys it should get; above zero.
+        weight: Relative share of the keys that the name should get; above zero.
     """
 
     name: str
@@ -29,7 +29,7 @@
 
 
 def candidate(name: str, weight: float) -> Candidate:
-    """Return a candidate with its seed worked out from the name."""
+    """Return a candidate with the seed computed from its name."""
     return Candidate(name, digest(name.encode()), weight)
 
 
@@ -39,7 +39,7 @@
 
 
 def score(key: bytes, item: Candidate) -> float:
-    """Return the rank of an item for a key; the highest wins."""
+    """Return the score of a candidate for a key; the highest score ranks first."""
     fraction = (xxhash.xxh3_64_intdigest(key, item.seed) + 1) / (_SPAN + 1.0)
     if fraction >= 1.0:
         return math.inf
@@ -47,7 +47,7 @@
 
 
 def best(key: bytes, items: typing.Sequence[Candidate]) -> str | None:
-    """Return the name that ranks first for a key, or None without items."""
+    """Return the name that ranks first for a key, or None without candidates."""
     chosen = None
     highest = -1.0
     for item in items:
@@ -59,6 +59,6 @@
 
 
 def ranked(key: bytes, items: typing.Sequence[Candidate]) -> list[str]:
-    """Return all names, the first choice for the key in front."""
+    """Return all names by rank for a key, the first choice first."""
     order = sorted(items, key=lambda item: score(key, item), reverse=True)
     return [item.name for item in order]
--- a/eelgrasswick/homes/replica.py
+++ b/eelgrasswick/homes/replica.py
@@ -1,8 +1,9 @@
-"""Copies of exceptions: flows that are not on their default target.
+"""Copies of exceptions, which are flows that are not on their default target.
 
-A flow on its default target needs no copy, because every VM can work the
-target out. A flow placed elsewhere is known to its home only, so the home sends
-it to a backup, and to the next home when homes change.
+A flow on its default target needs no copy, because every VM can compute that
+target. Of a flow on another target only the home has a record. The home
+therefore sends a copy to the backup, and hands the flow over to the next home
+when homes change.
 """
 
 import typing
@@ -23,10 +24,14 @@
 
 
 class Replicator:
-    """Sends a home's exceptions in batches and keeps those of other homes."""
+    """Sends a home's exceptions in batches and stores those of other homes.
+
+    Attributes:
+        copies: Copies of the exceptions of other homes.
+    """
 
     def __init__(self, peers: peer.Peers, outbox: message.Outbox) -> None:
-        """Start with nothing kept and nothing to send."""
+        """Create a replicator without copies and with nothing to send."""
         self._peers = peers
         self._outbox = outbox
         self.copies = hint.HintTable(COPY_TTL_MS, MAX_COPIES)
@@ -40,7 +45,7 @@
         return not (self._copies_to_send or self._handovers or self._removals)
 
     def clear(self) -> None:
-        """Drop what is kept for others and what waits to be sent."""
+        """Remove the copies of other homes and all that waits to be sent."""
         self.copies.clear()
         self._copies_to_send.clear()
         self._handovers.clear()
@@ -49,11 +54,11 @@
     def queue_copy(
         self, receiver: str, flow: packet.FlowKey, chosen: target.Target
     ) -> None:
-        """Have a backup keep an exception."""
+        """Queue the copy of an exception for a backup."""
         self._copies_to_send.setdefault(receiver, {})[flow.packed] = chosen.name
 
     def queue_removal(self, receiver: str, flow: packet.FlowKey) -> None:
-        """Tell a backup that a flow has ended."""
+        """Queue the removal of a backup's copy, because the flow has ended."""
         packed = flow.packed
         if self._copies_to_send.get(receiver, {}).pop(packed, None) is None:
             self._removals.setdefault(receiver, set()).add(packed)
@@ -61,15 +66,15 @@
     def queue_handover(
         self, receiver: str, flow: packet.FlowKey, chosen: target.Target
     ) -> None:
-        """Tell the new home of a flow where the flow is."""
+        """Queue the handover of a flow and its target to the flow's new home."""
         self._handovers.setdefault(receiver, {})[flow.packed] = chosen.name
 
     def flush(self) -> None:
-        """Send some of what waits; called once a tick.
+        """Send up to ``BATCHES_PER_TICK`` queued batches; called once a tick.
 
-        A drain can turn a tenth of all flows into exceptions at once. Sent in
-        one go they would stand in front of heartbeats and make living VMs look
-        dead, so each tick sends a bounded number of batches.
+        A drain can turn a tenth of all flows into exceptions at once. If they
+        were all sent at once, heartbeats would queue behind them and living VMs
+        would appear dead. Each tick therefore sends a bounded number of batches.
         """
         budget = BATCHES_PER_TICK
         budget = self._flush_placed(self._handovers, wire.Handover, budget)
--- a/eelgrasswick/homes/retired.py
+++ b/eelgrasswick/homes/retired.py
@@ -1,4 +1,4 @@
-"""What a document keeps of lines that have left the rules."""
+"""Lines and addresses that a document retains after they left the rules."""
 
 import typing
 
@@ -12,7 +12,16 @@
 
 
 def lines(before: config.Document, rules: rule.Rules) -> str:
-    """Return the lines that have left the rules and whose flows may be open."""
+    """Return the lines that were removed from the rules but may have open flows.
+
+    Args:
+        before: The document that was in force until now.
+        rules: The new rules.
+
+    Returns:
+        The newest ``RETIRED_LINES`` removed lines, without those whose address
+        or endpoint the new rules use again.
+    """
     former = before.retired.splitlines() + before.text.splitlines()
     services = {item.name for item in rules.services}
     addresses = {config.address_label(item) for item in rules.services}
@@ -32,8 +41,9 @@
 
 
 def _with_services(lines: list[str], present: set[str]) -> list[str]:
-    # Cut off at the bound, or with its address taken, a service can be missing
-    # while its targets are still here. No VM could read such a document.
+    # A service can be missing while its targets are still listed, because its
+    # line was cut off at RETIRED_LINES or its address is used again. No VM
+    # could read a document with such targets, so they are left out.
     parsed = {line: rule.parse(line).rules for line in lines}
     retired = {item.name for rules in parsed.values() for item in rules.services}
     known = present | retired
@@ -45,7 +55,15 @@
 
 
 def reused_addresses(before: config.Document, rules: rule.Rules) -> tuple[str, ...]:
-    """Return the service addresses that belonged to another service before."""
+    """Return the addresses of services that belonged to another service before.
+
+    Args:
+        before: The document that was in force until now.
+        rules: The new rules.
+
+    Returns:
+        The labels of the newest ``REUSED_ADDRESSES`` such addresses.
+    """
     former = rule.parse(before.text + "\n" + before.retired).rules.services
     owner = {config.address_label(item): item.name for item in former}
     labels = dict.fromkeys(before.reused)
