--- a/eelgrasswick/homes/pending.py
+++ b/eelgrasswick/homes/pending.py
@@ -1,6 +1,6 @@
 """The opening packets that wait at this home, by service.
 
-Module ``waiting`` implements the queueing. This module keeps a queue for each
+Module ``decisions.waiting`` implements the queueing. This module keeps a queue for each
 service and ensures that a waiting flow never runs after it was refused, and
 is never refused after it ran.
 """
@@ -34,7 +34,7 @@
 
 
 class Pending:
-    """The queues of the services that have or had waiting flows."""
+    """The queues of waiting flows, one for each service."""
 
     def __init__(self, name: str, shared: tables.Tables) -> None:
         """Create the queues of the VM ``name``, none at first."""
--- a/eelgrasswick/homes/rehome.py
+++ b/eelgrasswick/homes/rehome.py
@@ -27,18 +27,18 @@
         """Create the rehomer of the VM ``name``."""
         self._name = name
         self._tables = shared
-        self._waiting: typing.Iterator[packet.FlowKey] = iter(())
+        self._remaining: typing.Iterator[packet.FlowKey] = iter(())
 
     def start(self) -> None:
         """Restart with all records and copies, because homes may have changed."""
         records = [key for key, _ in self._tables.flows.items()]
         kept = [key for key, _ in self._tables.replicator.copies.items()]
-        self._waiting = iter(records + kept)
+        self._remaining = iter(records + kept)
 
     def step(self, now_ms: int) -> None:
         """Process the next ``FLOWS_PER_TICK`` flows."""
         for _ in range(FLOWS_PER_TICK):
-            key = next(self._waiting, None)
+            key = next(self._remaining, None)
             if key is None:
                 return
             self._rehome(now_ms, key)
@@ -57,7 +57,7 @@
         place = current.locate(key, flow_service)
         if record is not None and place.home not in (None, self._name):
             self._demote(now_ms, key, record)
-        if record is not None and not _certain(record):
+        if record is not None and not _target_is_certain(record):
             return
         default = place.default.name if place.default is not None else ""
         if known.name != default:
@@ -67,7 +67,7 @@
         # The record is removed here, because a flow that is counted both here
         # and at the new home would occupy two slots of its target.
         self._tables.flows.remove(key)
-        if _certain(record):
+        if _target_is_certain(record):
             self._tables.hints.learn(now_ms, key, record.target)
 
     def _send(
@@ -84,5 +84,5 @@
             replicator.queue_copy(to_backup, key, known)
 
 
-def _certain(record: flow.Record) -> bool:
+def _target_is_certain(record: flow.Record) -> bool:
     return record.is_active and record.origin is not flow.Origin.GUESSED
--- a/eelgrasswick/homes/retired.py
+++ b/eelgrasswick/homes/retired.py
@@ -27,20 +27,22 @@
     addresses = {config.address_label(item) for item in rules.services}
     targets = {item.name for item in rules.targets}
     endpoints = {item.endpoint for item in rules.targets}
-    kept: dict[tuple[str, str], str] = {}
+    removed: dict[tuple[str, str], str] = {}
     for line in former:
         parsed = rule.parse(line).rules
         for service in parsed.services:
             label = config.address_label(service)
             if service.name not in services and label not in addresses:
-                kept[("service", service.name)] = line
+                removed[("service", service.name)] = line
         for target in parsed.targets:
             if target.name not in targets and target.endpoint not in endpoints:
-                kept[("target", target.name)] = line
-    return "\n".join(_with_services(list(kept.values())[-RETIRED_LINES:], services))
+                removed[("target", target.name)] = line
+    return "\n".join(
+        _without_orphans(list(removed.values())[-RETIRED_LINES:], services)
+    )
 
 
-def _with_services(lines: list[str], present: set[str]) -> list[str]:
+def _without_orphans(lines: list[str], present: set[str]) -> list[str]:
     # A service can be missing while its targets are still listed, because its
     # line was cut off at RETIRED_LINES or its address is used again. No VM
     # could read a document with such targets, so they are left out.
--- a/tests/test_cut.py
+++ b/tests/test_cut.py
@@ -1,4 +1,4 @@
-"""Zones that lose each other while callers still reach all of them."""
+"""Network partitions between zones, while callers still reach all of them."""
 
 import pytest
 
@@ -7,15 +7,23 @@
 
 @pytest.fixture
 def lossy() -> flow_steps.Bench:
-    """A bench whose network loses and doubles packets, so SYNs are repeated."""
+    """Return a bench whose network drops and duplicates packets.
+
+    Callers therefore retransmit SYNs.
+    """
     return flow_steps.Bench(world.World(7, world.Link(loss=0.08, double=0.02)))
 
 
-def test_flow_opened_during_a_cut_keeps_one_target(lossy: flow_steps.Bench) -> None:
-    # Each side of a cut takes the other for dead and places flows by itself.
-    # A SYN that was repeated opens the flow at one target on either side; the
-    # caller answers the first of them. If the second one resets the caller's
-    # packets and the reset is passed on, the board that just opened is gone.
+def test_flow_opened_during_a_partition_keeps_one_target(
+    lossy: flow_steps.Bench,
+) -> None:
+    """A reset by a second target must not end a flow that the first one serves.
+
+    Each side of the partition confirms the other one dead and places flows on
+    its own. A retransmitted SYN opens the flow at one target on either side, and
+    the caller acknowledges the first SYN-ACK. The second target resets the
+    caller's packets.
+    """
     lossy.world.cut("z1", "z2", "z3")
     lossy.world.run(4000)
     for _ in range(80):
@@ -28,10 +36,13 @@
     assert lossy.world.breaches() == []
 
 
-def test_flows_open_before_a_cut_survive_it(bench: flow_steps.Bench) -> None:
-    # Packets that reach a VM on the wrong side can't go on to their target.
-    # They must be lost and not answered: a reset would end a download that the
-    # other side still serves.
+def test_flows_open_before_a_partition_survive_it(bench: flow_steps.Bench) -> None:
+    """A VM must not reset a flow whose target is on the other side.
+
+    Packets that reach a VM on the wrong side can't reach their target. The VM
+    must drop them without an answer: a reset would end a flow that the other
+    side still serves.
+    """
     for _ in range(60):
         bench.world.call("desk", parts=80, every_ms=250)
         bench.world.run(20)
@@ -44,10 +55,16 @@
     assert bench.world.breaches() == []
 
 
-def test_small_side_of_a_cut_uses_its_own_targets(bench: flow_steps.Bench) -> None:
-    # A zone is cut off with three of seven targets. If it takes the loss of the
-    # other four for its own fault, it goes on sending them new flows, and more
-    # than half of its callers wait for seconds until they repeat their SYN.
+def test_partitioned_zone_opens_flows_on_its_own_targets(
+    bench: flow_steps.Bench,
+) -> None:
+    """A zone must detect that the targets of other zones are out of reach.
+
+    The zone is cut off with three of seven targets. If it treated the silence
+    of the other four as a fault of its own, it would go on sending them new
+    flows, and more than half of its callers would wait for seconds until they
+    retransmit their SYN.
+    """
     bench.world.cut("z1", "z2", "z3")
     bench.world.cut("callers", "z2", "z3")
     bench.world.run(4000)
--- a/tests/test_datagram.py
+++ b/tests/test_datagram.py
@@ -1,17 +1,18 @@
-"""Requests over UDP that callers repeat while VMs differ in their views."""
+"""UDP requests that callers retransmit while the VMs' views differ."""
 
 import pytest
 
 from tests import flow_steps, world
 
-# With another zone a flow's home moves too.
+# A flow whose default target becomes one of these changes zone, so that its home
+# moves too.
 ELSEWHERE = flow_steps.MORE_TARGETS.replace("zone=z2", "zone=z3")
 LOSSY = world.Link(loss=0.25, double=0.05)
 
 
 @pytest.fixture
 def lossy() -> flow_steps.Bench:
-    """A bench whose network makes callers repeat many datagrams."""
+    """Return a bench whose network makes callers retransmit many datagrams."""
     return flow_steps.Bench(world.World(1, LOSSY))
 
 
@@ -21,10 +22,14 @@
         bench.world.run(10)
 
 
-def test_datagram_repeated_on_both_sides_of_a_cut(lossy: flow_steps.Bench) -> None:
-    # A zone is cut off. A repeated check-in reaches VMs on both sides, and the
-    # side that can't reach the target of the first copy must not pick another
-    # one, or the check-in counts an educator twice.
+def test_datagram_repeated_on_both_sides_of_a_partition_runs_once(
+    lossy: flow_steps.Bench,
+) -> None:
+    """A request must not run again on the other side of a partition.
+
+    A retransmitted datagram reaches VMs on both sides. The side that can't
+    reach the target of the first copy must not choose another target.
+    """
     lossy.world.cut("z1", "z2", "z3", "platform")
     _ask(lossy, 600)
     lossy.world.heal()
@@ -33,10 +38,15 @@
     assert set(lossy.world.executed().values()) == {1}
 
 
-def test_datagram_repeated_to_a_vm_with_old_rules(lossy: flow_steps.Bench) -> None:
-    # For three seconds one VM has not got the newest rules. By the old ones it
-    # is still the home of some flows, with another target for them than their
-    # new home, which may have started the first copy of a check-in already.
+def test_datagram_repeated_to_a_vm_with_old_rules_runs_once(
+    lossy: flow_steps.Bench,
+) -> None:
+    """A VM with old rules must not run a request again on another target.
+
+    One VM does not receive the newest rules. Under the old rules it is still
+    the home of some flows, and it has another default target for them than
+    their new home, which may have started the first copy of a request already.
+    """
     behind = lossy.world.vms["vm2"].engine
     old = behind.tables.epochs.current
     assert old is not None
@@ -55,9 +65,14 @@
     assert len(lossy.world.executed()) > 200
 
 
-def test_datagram_repeated_after_its_home_died(lossy: flow_steps.Bench) -> None:
-    # A home starts a check-in and dies with its record. If the rules change at
-    # the same time, the next home has another target for the repeated copy.
+def test_datagram_repeated_after_its_home_died_runs_once(
+    lossy: flow_steps.Bench,
+) -> None:
+    """A request that a dead home started must not run again on another target.
+
+    The home dies and its record is lost. Because the rules change at the same
+    time, the next home has another default target for the retransmitted copy.
+    """
     service = lossy.world.config().services["ratio"]
     current = lossy.world.vms["vm2"].engine.tables.epochs.current
     assert current is not None
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,9 +1,10 @@
-"""Many engines together: the whole path in virtual time."""
+"""A fleet of engines with callers and targets, in virtual time."""
 
 from tests import world
 
 
 def test_requests_are_served_whole(small_world: world.World) -> None:
+    """Each request must be answered completely and run exactly once."""
     for _ in range(40):
         small_world.call("desk")
         small_world.call("vault")
@@ -14,8 +15,7 @@
 
 
 def test_killed_vm_breaks_no_flow(small_world: world.World) -> None:
-    # A VM loses its power while boards are open. Callers of the flows whose
-    # home it was would notice a board that stands still or is reset.
+    """The failure of a flow's home must neither stall nor reset the flow."""
     for _ in range(60):
         small_world.call("desk", parts=60, every_ms=100)
     small_world.run(1000)
--- a/tests/test_epoch_share.py
+++ b/tests/test_epoch_share.py
@@ -1,4 +1,4 @@
-"""A VM's part of the fleet-wide limits."""
+"""A VM's fraction of the fleet, by which fleet-wide limits are divided."""
 
 from eelgrasswick import config
 from eelgrasswick.emulation import virtual_fleet
@@ -6,7 +6,8 @@
 from eelgrasswick.homes import epoch
 
 
-def made(*sizes: int) -> epoch.Epoch:
+def epoch_of(*sizes: int) -> epoch.Epoch:
+    """Return an epoch of serving VMs with these sizes."""
     text = virtual_fleet.rules_text(1, 3, ("z1",))
     members = [
         member.Member(
@@ -17,15 +18,18 @@
     return epoch.Epoch(config.Config(virtual_fleet.document(1, text)), members)
 
 
-def test_shares_follow_sizes() -> None:
-    current = made(1, 3)
+def test_fractions_are_proportional_to_sizes() -> None:
+    """A VM must not get a part of a limit that its size does not justify."""
+    current = epoch_of(1, 3)
     assert current.share("vm0") == 0.25
     assert current.share("vm1") == 0.75
 
 
-def test_vm_outside_the_epoch_has_no_share() -> None:
-    assert made(1, 3).share("vm9") == 0.0
+def test_vm_outside_the_epoch_has_fraction_0() -> None:
+    """A VM that does not serve must not admit flows by the fleet's limits."""
+    assert epoch_of(1, 3).share("vm9") == 0.0
 
 
-def test_vm_alone_has_the_whole() -> None:
-    assert made().share("vm0") == 1.0
+def test_vm_without_serving_peers_has_fraction_1() -> None:
+    """A VM that sees no serving VM must not refuse all flows."""
+    assert epoch_of().share("vm0") == 1.0
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Why a flow or a target is where it is."""
+"""The facts and reasons that a VM gives about a flow or a target."""
 
 import pytest
 from hypothesis import given, strategies
@@ -15,25 +15,28 @@
 
 
 def asked(
-    made: world.World, name: str, question: wire.ExplainFlow | wire.ExplainTarget
+    fleet_world: world.World, name: str, question: wire.ExplainFlow | wire.ExplainTarget
 ) -> dict[str, str]:
-    """Return the facts that one VM gives."""
-    answer = made.vms[name].engine._explainer.explain(made.now_ms, question)
+    """Return the facts in one VM's response, by key."""
+    answer = fleet_world.vms[name].engine._explainer.explain(
+        fleet_world.now_ms, question
+    )
     assert wire.decode(wire.encode(answer)) == answer
     return {fact.key: fact.value for fact in answer.facts}
 
 
-def open_flow(made: world.World) -> packet.FlowKey:
+def open_flow(fleet_world: world.World) -> packet.FlowKey:
     """Open one long flow and return its key."""
-    made.call("desk", parts=100, every_ms=100)
-    made.run(500)
-    for vm in made.vms.values():
+    fleet_world.call("desk", parts=100, every_ms=100)
+    fleet_world.run(500)
+    for vm in fleet_world.vms.values():
         for key, _ in vm.engine.tables.flows.items():
             return key
     raise AssertionError("no flow is open")
 
 
-def test_home_knows_the_target_of_a_flow(small_world: world.World) -> None:
+def test_home_gives_the_target_of_a_flow(small_world: world.World) -> None:
+    """Any VM must name the home of a flow, and the home must name its target."""
     key = open_flow(small_world)
     question = wire.ExplainFlow(key.packed)
     anywhere = asked(small_world, "vm1", question)
@@ -46,7 +49,10 @@
     assert "home decides" in anywhere["reason"] or anywhere["vm"] == home["vm"]
 
 
-def test_drained_target_says_so(small_world: world.World, rules_text: str) -> None:
+def test_drained_target_is_explained_by_its_drain(
+    small_world: world.World, rules_text: str
+) -> None:
+    """An operator must see that a target drains and how many flows it still has."""
     key = open_flow(small_world)
     question = wire.ExplainFlow(key.packed)
     first = asked(small_world, "vm1", question)
@@ -66,9 +72,10 @@
         ("tcp/10.9.0.1:4000>10.1.0.1:443", "no record here"),
     ],
 )
-def test_flow_that_is_not_there_says_so(
+def test_unknown_flow_gets_a_reason(
     small_world: world.World, text: str, reason: str
 ) -> None:
+    """A flow without a rule or a record must be explained and not be an error."""
     question = wire.ExplainFlow(explain.parse_flow(text).packed)
     facts = asked(small_world, "vm1", question)
     if "home" in facts:
@@ -76,13 +83,15 @@
     assert reason in facts["reason"]
 
 
-def test_target_without_a_rule_says_so(small_world: world.World) -> None:
+def test_unknown_target_gets_a_reason(small_world: world.World) -> None:
+    """A target without a rule must be explained and not be an error."""
     facts = asked(small_world, "vm1", wire.ExplainTarget("nobody"))
     assert facts["reason"] == "no rule has this target"
 
 
 @given(strategies.text(max_size=60))
 def test_any_text_gives_a_flow_or_a_value_error(text: str) -> None:
+    """A malformed flow on the command line must raise no other error."""
     try:
         key = explain.parse_flow(text)
     except ValueError:
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -3,13 +3,16 @@
 from tests import flow_steps
 
 
-def test_old_copy_sends_no_new_flow_to_a_leaving_target(
+def test_outdated_copy_sends_no_new_flow_to_a_drained_target(
     bench: flow_steps.Bench,
 ) -> None:
-    # The message that a flow has ended was lost, so its backup keeps the copy
-    # for an hour. Its target drains, the backup becomes the home, and the
-    # caller uses its port again. Sent by the copy, the new flow would land on
-    # the leaving target and be cut when that one stops.
+    """A copy that outlives its flow must not place a new flow on a drained target.
+
+    The message that removes the copy was lost, so the backup keeps the copy for
+    an hour. The target drains, the backup becomes the home, and the caller
+    reuses its port. A new flow that followed the copy would be cut when the
+    target stops.
+    """
     port = bench.port("desk", lambda place: place.home == "vm2")
     bench.edit(bench.text + flow_steps.DRAINS)
     bench.world.run(6000)
--- a/tests/test_mixed_faults.py
+++ b/tests/test_mixed_faults.py
@@ -1,4 +1,4 @@
-"""Faults and planned changes in any order, while callers keep calling."""
+"""Faults and planned changes in random order, under continuous load."""
 
 import typing
 
@@ -24,15 +24,15 @@
 
 
 class MixedFaults(stateful.RuleBasedStateMachine):
-    """Whatever comes together, the history keeps every promise.
+    """No combination of faults and changes may violate an invariant.
 
-    VMs die, leave, join, stand still and lose each other while operators edit
-    the rules. A caller must never get another request's answer, a request must
-    not run twice or at a wrong service, and what was refused must not have run.
+    VMs fail, leave, join, pause and are partitioned while operators edit the
+    rules. A caller must never get another request's answer, a request must not
+    run twice or at a wrong service, and a refused request must not have run.
     """
 
     def __init__(self) -> None:
-        """Start a fleet on a network that loses and doubles some packets."""
+        """Start a fleet on a network that drops and duplicates some packets."""
         super().__init__()
         link = world.Link(loss=0.02, double=0.02)
         self.bench = flow_steps.Bench(world.World(3, link))
@@ -40,7 +40,7 @@
         self.call_for(500)
 
     def call_for(self, ms: int) -> None:
-        """Let callers call every 20 ms, now and then for a longer answer."""
+        """Let callers open a flow every 20 ms, every seventh a longer one."""
         for _ in range(ms // 20):
             self.turn += 1
             port = FIRST_PORT + self.turn % PORTS
@@ -50,7 +50,7 @@
             self.bench.world.run(20)
 
     def running(self) -> list[str]:
-        """Return the VMs that run, in the order of their start."""
+        """Return the names of the running VMs, in the order of their start."""
         return [
             name
             for name, vm in self.bench.world.vms.items()
@@ -58,13 +58,13 @@
         ]
 
     def pick(self, number: int) -> str | None:
-        """Return a VM that can be spared."""
+        """Return a VM to stop; None when only ``MIN_VMS`` run."""
         names = self.running()
         return names[number % len(names)] if len(names) > MIN_VMS else None
 
     @stateful.rule(number=st.integers(0, 9), gap_ms=st.sampled_from((100, 1000, 4000)))
     def kill(self, number: int, gap_ms: int) -> None:
-        """End a VM without warning."""
+        """Stop a VM without warning."""
         name = self.pick(number)
         if name is not None:
             self.bench.world.kill(name)
@@ -72,7 +72,7 @@
 
     @stateful.rule(number=st.integers(0, 9), gap_ms=st.sampled_from((100, 1000, 4000)))
     def leave(self, number: int, gap_ms: int) -> None:
-        """Stop a VM as planned."""
+        """Let a VM leave the fleet in a planned shutdown."""
         name = self.pick(number)
         if name is not None:
             self.bench.world.leave(name)
@@ -80,14 +80,14 @@
 
     @stateful.rule(zone=st.sampled_from(ZONES), gap_ms=st.sampled_from((100, 2000)))
     def join(self, zone: str, gap_ms: int) -> None:
-        """Start a VM."""
+        """Start a VM, up to ``MAX_VMS``."""
         if len(self.running()) < MAX_VMS:
             self.bench.join(zone)
         self.call_for(gap_ms)
 
     @stateful.rule(number=st.integers(0, 9), pause_ms=st.sampled_from(PAUSES_MS))
     def pause(self, number: int, pause_ms: int) -> None:
-        """Freeze a VM; what is sent to it waits until it wakes."""
+        """Pause a VM; packets that are sent to it wait until it resumes."""
         name = self.pick(number)
         if name is not None:
             self.bench.world.pause(name, pause_ms)
@@ -95,14 +95,14 @@
 
     @stateful.rule(places=st.sampled_from(CUTS), cut_ms=st.sampled_from((500, 5000)))
     def cut(self, places: tuple[str, ...], cut_ms: int) -> None:
-        """Cut a zone off for a while."""
+        """Partition a zone from other places for ``cut_ms``."""
         self.bench.world.cut(*places)
         self.call_for(cut_ms)
         self.bench.world.heal()
 
     @stateful.rule(change=st.sampled_from(("drain", "undrain", "weigh", "add")))
     def edit(self, change: str) -> None:
-        """Have an operator change the rules."""
+        """Change the rules as an operator does."""
         bench = self.bench
         drains, more = flow_steps.DRAINS, flow_steps.MORE_TARGETS
         text = bench.text.replace(drains, "").replace(more, "")
@@ -117,7 +117,7 @@
 
     def teardown(self) -> None:
         """Let all flows end and check the history."""
-        # A caller gives up when it has heard nothing for that long.
+        # A caller gives up after GIVE_UP_MS without a packet.
         self.bench.world.run(2 * emulated_caller.GIVE_UP_MS)
         assert self.bench.world.breaches() == []
         assert self.bench.world.callers.open_flows == 0
@@ -127,7 +127,7 @@
 TestMixedFaults.settings = hypothesis.settings(
     max_examples=10,
     stateful_step_count=8,
-    # A run takes seconds, so a failing one is reported as found, not shrunk.
+    # A run takes seconds, so that a failing example is reported without shrinking.
     phases=(hypothesis.Phase.explicit, hypothesis.Phase.generate),
     deadline=None,
     derandomize=True,
--- a/tests/test_opener.py
+++ b/tests/test_opener.py
@@ -1,4 +1,4 @@
-"""Waiting and repeated opening packets in whole engines, in virtual time."""
+"""Waiting and retransmitted opening packets in a fleet, in virtual time."""
 
 import random
 
@@ -15,25 +15,27 @@
 
 @pytest.fixture
 def slow_world(rules_text: str) -> world.World:
-    """A small fleet that has learned how fast its targets are."""
-    made = world.World(seed=11)
-    made.add_fleet(4)
-    made.apply(rules_text)
-    made.run(4000)
-    return made
+    """Return a small fleet that has measured how fast its targets are."""
+    fleet_world = world.World(seed=11)
+    fleet_world.add_fleet(4)
+    fleet_world.apply(rules_text)
+    fleet_world.run(4000)
+    return fleet_world
 
 
-def overload(made: world.World, ms: int) -> None:
-    """Bring about twice what the desk's targets can do."""
+def overload(fleet_world: world.World, ms: int) -> None:
+    """Open about twice as many flows as the targets of the desk can serve."""
     rng = random.Random(5)
     for _ in range(ms // 5):
-        made.call("desk", work_ms=rng.randrange(120, 200))
-        made.run(5)
+        fleet_world.call("desk", work_ms=rng.randrange(120, 200))
+        fleet_world.run(5)
 
 
 def test_overload_refuses_early_and_runs_nothing_twice(slow_world: world.World) -> None:
-    # A shift begins and every educator checks in at once. Who can't be served
-    # in time is told so at once and when to come back.
+    """A flow that can't be served in time must be refused early and not run.
+
+    The refusal states when the caller may retry.
+    """
     overload(slow_world, 4000)
     slow_world.run(12_000)
     assert set(slow_world.ends()) <= {"whole", "refused"}
@@ -47,21 +49,21 @@
             assert item.ended_ms - item.began_ms < 600
 
 
-def waiting_flow(made: world.World) -> tuple[world.Vm, packet.FlowKey]:
-    """Return a VM at which a flow waits."""
+def waiting_flow(fleet_world: world.World) -> tuple[world.Vm, packet.FlowKey]:
+    """Open flows until one waits; return its VM and its key."""
     for _ in range(2000):
-        made.call("desk", work_ms=200)
-        made.run(2)
-        for vm in made.vms.values():
+        fleet_world.call("desk", work_ms=200)
+        fleet_world.run(2)
+        for vm in fleet_world.vms.values():
             for queue in vm.engine.opener._pending._queues.values():
                 waiter = queue.first()
                 if waiter is not None:
                     return vm, waiter.item.flow
-    raise AssertionError("nothing ever waited")
+    raise AssertionError("no flow waited")
 
 
-def test_reset_of_a_waiting_caller_takes_it_out(slow_world: world.World) -> None:
-    # A caller gives up while it waits. Its flow must not take a slot later.
+def test_reset_by_a_waiting_caller_cancels_its_flow(slow_world: world.World) -> None:
+    """The flow of a caller that gave up while it waited must not occupy a slot."""
     vm, key = waiting_flow(slow_world)
     caller = packet.Address(key.caller_ip, key.caller_port)
     address = packet.Address(key.service_ip, key.service_port)
@@ -75,10 +77,15 @@
     assert vm.engine.outbox.counts[message.Counter.FLOWS_PLACED] == placed
 
 
-def test_new_home_that_asks_takes_a_waiting_flow_over(slow_world: world.World) -> None:
-    # Homes change while a flow waits, and its SYN reaches the new home. Were
-    # it placed here as well, or refused as not run, it would run twice or run
-    # although its caller was told otherwise.
+def test_inquiry_of_the_new_home_cancels_a_waiting_flow(
+    slow_world: world.World,
+) -> None:
+    """A waiting flow must not be placed or refused by two homes.
+
+    Homes change while the flow waits, and its SYN reaches the new home. If the
+    former home placed it too, it would run twice; if the former home refused it
+    as not run, it would run all the same.
+    """
     vm, key = waiting_flow(slow_world)
     other = next(name for name in slow_world.vms if name != vm.me.name)
     vm.engine.switch.handle_inquiry(slow_world.now_ms, other, wire.Ask(key.packed))
@@ -93,12 +100,14 @@
     assert not logs
 
 
-def test_unanswered_syn_is_repeated_before_the_caller_does(
+def test_home_retransmits_an_unanswered_syn_before_the_caller(
     slow_world: world.World,
 ) -> None:
-    # A server loses its power. Without the home's own repetition its callers
-    # wait for a second, until they repeat the SYN themselves. (With two dead
-    # servers a flow can meet one after the other, which takes longer.)
+    """Callers must not wait for their own retransmission when a target dies.
+
+    Without a retransmission by the home, they would wait for a second. (With
+    two dead targets, a flow can meet one after the other, which takes longer.)
+    """
     slow_world.dead_targets.add("d7")
     slow_world.run(10)
     for _ in range(150):
@@ -111,6 +120,7 @@
 
 
 def desk_service(vm: world.Vm) -> service.Service:
+    """Return the service ``desk`` in the configuration that a VM has in force."""
     current = vm.engine.tables.epochs.current
     assert current is not None
     return current.config.services["desk"]
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -1,13 +1,16 @@
-"""A VM that stood still and wakes with old views."""
+"""A VM that was paused and resumes with an outdated view."""
 
 from tests import flow_steps
 
 
-def test_woken_vm_starts_no_old_datagram(bench: flow_steps.Bench) -> None:
-    # A VM stands still for half a minute. Requests that had been forwarded to
-    # it wait in its sockets. Their callers repeated them, another VM has taken
-    # over and, after a change of rules, placed them on a new target. If the
-    # woken VM sends the old copies out, each check-in is counted twice.
+def test_resumed_vm_drops_queued_datagrams(bench: flow_steps.Bench) -> None:
+    """A request that waited in the sockets of a paused VM must not run again.
+
+    While the VM is paused for half a minute, callers retransmit the requests
+    that were forwarded to it. Another VM takes over and, after a change of
+    rules, places them on a new target. If the resumed VM sent the old copies
+    out, each request would run twice.
+    """
     port = bench.port("ratio", lambda place: place.home == "vm2")
     bench.world.pause("vm2", 30_000)
     bench.world.call("ratio", caller=0, port=port)
@@ -18,10 +21,13 @@
     assert bench.world.breaches() == []
 
 
-def test_woken_vm_forgets_what_it_knew(bench: flow_steps.Bench) -> None:
-    # Half a minute is longer than the others keep what has ended. A port may
-    # have been used again on another target meanwhile, and a VM that acts on
-    # its old record would send the new flow's packets to the old target.
+def test_resumed_vm_drops_its_records(bench: flow_steps.Bench) -> None:
+    """A record from before a pause must not send packets to an old target.
+
+    Half a minute is longer than the peers keep the records of closed flows. A
+    caller may have reused its port on another target meanwhile, and the old
+    record would send the new flow's packets to the old target.
+    """
     port = bench.port("desk", lambda place: place.home == "vm2")
     bench.world.call("desk", parts=400, every_ms=250, caller=0, port=port)
     bench.world.run(1000)
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -19,10 +19,15 @@
     return "".join(line for line in lines if not any(part in line for part in parts))
 
 
-def test_address_does_not_pass_on_at_once(bench: flow_steps.Bench) -> None:
-    # The booth gets the vault's address in the same change in which the vault
-    # goes. Until every VM has the change, some send the booth's first callers
-    # to the vault's targets, which answer them: a check-in at the printer.
+def test_address_of_a_removed_service_is_refused_at_first(
+    bench: flow_steps.Bench,
+) -> None:
+    """Callers of a new service must not reach the targets of a removed one.
+
+    The booth gets the vault's address in the change that removes the vault.
+    Until every VM has this change, some VMs would send the booth's first callers
+    to the vault's targets, which would answer them.
+    """
     text = _without(bench.text, " vault ")
     with pytest.raises(errors.RulesInvalidError):
         bench.edit(text + BOOTH)
@@ -32,9 +37,14 @@
         bench.edit(text + BOOTH)
 
 
-def test_address_passes_on_after_a_while(bench: flow_steps.Bench) -> None:
-    # With the wait, VMs that are seconds behind refuse calls to the address
-    # and don't serve them by the old rules.
+def test_address_of_a_removed_service_is_accepted_later(
+    bench: flow_steps.Bench,
+) -> None:
+    """A VM with old rules must not serve an address that is used again.
+
+    Because of the wait, VMs that are seconds behind refuse flows to the address
+    and don't serve them under the old rules.
+    """
     text = _without(bench.text, " vault ")
     bench.world.call("vault", parts=200, every_ms=250)
     bench.edit(text)
@@ -52,9 +62,14 @@
     assert bench.world.ends()["whole"] > 70
 
 
-def test_endpoint_passes_on_when_it_is_empty(bench: flow_steps.Bench) -> None:
-    # A server of the vault is given to the desk. Once its own flows are over,
-    # no VM, however late with the rules, sends it anything of the vault's.
+def test_endpoint_is_reused_without_packets_of_its_former_service(
+    bench: flow_steps.Bench,
+) -> None:
+    """A target that moved to another service must get no packet of the former one.
+
+    A target of the vault moves to the desk. Once its own flows have ended, no
+    VM sends it packets of the vault's flows, not even one with old rules.
+    """
     for _ in range(20):
         bench.world.call("vault", parts=12, every_ms=250)
         bench.world.run(20)
