--- a/eelgrasswick/homes/emptiness.py
+++ b/eelgrasswick/homes/emptiness.py
@@ -1,8 +1,9 @@
-"""Notices when a target that gets no new flows has none left.
+"""Detects when a target that gets no new flows has no open flow left.
 
-Operators switch a drained machine off when it is empty. Each VM logs what it
-sees; the VMs of the target's zone that watch the store also write it to the
-audit trail, once it has held for a while.
+Operators switch a drained machine off when it is empty. Each VM logs that it
+counts no open flow at a target. The VMs of the target's zone that watch the
+store also record it in the audit trail, once the target has stayed empty for
+``EMPTY_CONFIRM_MS``.
 """
 
 import typing
@@ -14,23 +15,23 @@
 from eelgrasswick.fleet import member
 from eelgrasswick.homes import tables
 
-SURE_MS: typing.Final = 10_000
+EMPTY_CONFIRM_MS: typing.Final = 10_000
 
 
 class _Leaving:
-    __slots__ = ("empty_ms", "noted", "sequence")
+    __slots__ = ("empty_ms", "recorded", "sequence")
 
     def __init__(self, sequence: int) -> None:
         self.sequence = sequence
         self.empty_ms: int | None = None
-        self.noted = False
+        self.recorded = False
 
 
 class EmptyTargets:
-    """Follows the targets that take no new flow."""
+    """Tracks the open flows of targets that take no new flow."""
 
     def __init__(self, shared: tables.Tables) -> None:
-        """Follow the targets of the configuration in force."""
+        """Create a tracker for the targets of the configuration in force."""
         self._tables = shared
         self._leaving: dict[str, _Leaving] = {}
 
@@ -41,11 +42,11 @@
         watching: bool,
         others: typing.Sequence[str],
     ) -> None:
-        """Log targets that have become empty, and note them for the trail.
+        """Log targets that became empty, and record them in the audit trail.
 
         Args:
             now_ms: Present time in milliseconds.
-            me: This VM.
+            me: The membership entry of this VM.
             watching: True when this VM watches the store for its zone.
             others: Names of the other serving VMs.
         """
@@ -56,11 +57,11 @@
             if item.accepts:
                 self._leaving.pop(item.name, None)
             else:
-                self._look(now_ms, item, current.config.sequence)
+                self._check_target(now_ms, item, current.config.sequence)
         if watching and self._tables.loads.has_reports_from(others):
-            self._note(now_ms, me, current.zones, len(others) + 1)
+            self._record_empty(now_ms, me, current.zones, len(others) + 1)
 
-    def _look(self, now_ms: int, item: target.Target, sequence: int) -> None:
+    def _check_target(self, now_ms: int, item: target.Target, sequence: int) -> None:
         known = self._leaving.setdefault(item.name, _Leaving(sequence))
         here = self._tables.flows.open_by_target[item.name]
         if here + self._tables.loads.elsewhere(item.name):
@@ -69,21 +70,21 @@
             known.empty_ms = now_ms
             self._tables.outbox.put(message.log("target_empty", target=item.name))
 
-    def _note(
+    def _record_empty(
         self, now_ms: int, me: member.Member, zones: frozenset[str], homes: int
     ) -> None:
-        # For a moment after a home died its flows are counted nowhere. Written
-        # down at once, a target with open flows would stand in the trail as
+        # For a short time after a home died, no VM counts its flows. Without
+        # the delay, the audit trail would list a target with open flows as
         # empty, and an operator would switch it off.
         current = self._tables.epochs.current
         assert current is not None
         for name, known in self._leaving.items():
             item = current.config.targets.get(name)
-            if item is None or known.noted or known.empty_ms is None:
+            if item is None or known.recorded or known.empty_ms is None:
                 continue
             own = item.zone == me.zone or item.zone not in zones
-            if own and now_ms - known.empty_ms >= SURE_MS:
-                known.noted = True
+            if own and now_ms - known.empty_ms >= EMPTY_CONFIRM_MS:
+                known.recorded = True
                 self._tables.outbox.put(
                     message.RecordEmpty(name, known.sequence, known.empty_ms, homes)
                 )
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -1,7 +1,8 @@
-"""The engine of an entry VM: fed (now, event), it returns actions.
+"""The sans-I/O engine of an entry VM.
 
+The engine takes an event together with the present time and returns actions.
 It has no socket, clock or random source of its own, so that a test can drive
-many engines in virtual time. The parts share state through ``tables.Tables``.
+many engines in virtual time. Its parts share state through ``tables.Tables``.
 """
 
 import random
@@ -44,14 +45,14 @@
 HINT_TTL_MS: typing.Final = 10_000
 HINT_CAPACITY: typing.Final = 400_000
 EPOCH_WINDOW_MS: typing.Final = 5000
-LOAD_REPORT_MS: typing.Final = 1000
-ANNOUNCE_COUNT: typing.Final = 4
-FORGET_PAUSE_MS: typing.Final = 3000
-DISCARD_MS: typing.Final = 100
+LOAD_REPORT_INTERVAL_MS: typing.Final = 1000
+ANNOUNCE_FAN_OUT: typing.Final = 4
+STATE_RESET_PAUSE_MS: typing.Final = 3000
+WAKE_DISCARD_MS: typing.Final = 100
 
 
 class Engine:
-    """One entry VM without its sockets."""
+    """The logic of one entry VM, without its sockets."""
 
     def __init__(
         self,
@@ -61,13 +62,13 @@
         policy: placement.Placement,
         rng: random.Random,
     ) -> None:
-        """Build an engine in state JOINING.
+        """Create an engine in state JOINING.
 
         Args:
-            me: This VM.
-            seeds: Peer addresses to try before any VM is known.
+            me: The membership entry of this VM.
+            seeds: Addresses of peers to contact before any peer is known.
             codec: Encapsulation of packets.
-            policy: Chooses targets for new flows.
+            policy: Policy that chooses targets for new flows.
             rng: Seeded source of randomness.
         """
         self.name = me.name
@@ -99,17 +100,17 @@
 
         Args:
             now_ms: Present time, milliseconds since 1970.
-            event: What happened.
+            event: The event to handle.
 
         Returns:
-            What to do, in order.
+            The actions to carry out, in order.
         """
         paused_ms = self.membership.check_pause(now_ms)
         if paused_ms:
-            self._wake(now_ms, paused_ms)
+            self._resume(now_ms, paused_ms)
         match event:
             case message.FabricDatagram():
-                if not self._outdated(now_ms):
+                if not self._discards_packet(now_ms):
                     self.switch.datagram(now_ms, event)
             case message.PeerDatagram():
                 self._peer_datagram(now_ms, event)
@@ -125,26 +126,28 @@
                 self._tick(now_ms)
             case message.Leave():
                 self.membership.leave(now_ms)
-        self._follow(now_ms)
+        self._apply_changes(now_ms)
         return self.outbox.take()
 
-    def _wake(self, now_ms: int, paused_ms: int) -> None:
+    def _resume(self, now_ms: int, paused_ms: int) -> None:
         # After a pause the sockets hold packets as old as the pause. Callers
-        # have repeated them to VMs that took over, perhaps under other rules;
-        # sent on, an old copy could start the same request on a second target.
-        # So what waits is dropped; what still matters is sent again.
-        self._discard_until_ms = now_ms + DISCARD_MS
-        if paused_ms >= FORGET_PAUSE_MS:
-            # The others took this VM for dead and keep its flows. Its own
-            # records may name targets of flows that ended, whose ports now
-            # carry other flows; a packet sent by them would be lost or reset.
+        # have retransmitted them to VMs that took over, perhaps under other
+        # rules; an old copy that is forwarded now could start the same request
+        # on a second target. The engine therefore drops queued packets;
+        # callers and peers retransmit those that still matter.
+        self._discard_until_ms = now_ms + WAKE_DISCARD_MS
+        if paused_ms >= STATE_RESET_PAUSE_MS:
+            # The peers have confirmed this VM dead and taken over its flows.
+            # Its own records may name targets of flows that ended and whose
+            # ports now carry other flows; a packet that is sent according to
+            # such a record would be lost or reset.
             self.tables.flows.clear()
             self.tables.hints.clear()
             self.tables.replicator.clear()
             self.home.clear()
-        self._follow(now_ms)
+        self._apply_changes(now_ms)
 
-    def _outdated(self, now_ms: int) -> bool:
+    def _discards_packet(self, now_ms: int) -> bool:
         if now_ms >= self._discard_until_ms:
             return False
         self.outbox.count(message.Counter.PACKETS_OUTDATED)
@@ -154,49 +157,52 @@
         try:
             self._peer_message(now_ms, event.source, wire.decode(event.payload))
         except errors.MessageInvalidError as error:
-            self._invalid(str(event.source), error)
+            self._drop_message(str(event.source), error)
 
     def _peer_message(
         self, now_ms: int, source: packet.Address, item: wire.PeerMessage
     ) -> None:
         if isinstance(item, wire.Ping):
             self.membership.ping(now_ms, source, item)
-            self._heard(now_ms, item)
+            self._record_peer_sequence(now_ms, item)
             return
         sender = self.peers.name_at(source)
         if isinstance(item, wire.Ack):
             self.membership.ack(now_ms, item)
-            self._heard(now_ms, item)
+            self._record_peer_sequence(now_ms, item)
             return
         if sender is None:
-            self._stranger(now_ms, source, item)
+            self._handle_unknown_sender(now_ms, source, item)
             return
         match item:
             case wire.Forward():
-                if not self._outdated(now_ms):
+                if not self._discards_packet(now_ms):
                     self.switch.forward(now_ms, item)
             case wire.Relay():
-                if not self._outdated(now_ms):
+                if not self._discards_packet(now_ms):
                     self.switch.relay(now_ms, item)
             case wire.Ask():
-                self.switch.ask(now_ms, sender, item)
+                self.switch.handle_inquiry(now_ms, sender, item)
             case wire.Tell():
-                self.switch.tell(now_ms, sender, item)
+                self.switch.handle_inquiry_response(now_ms, sender, item)
             case wire.PingVia():
                 self.membership.ping_via(source, item)
             case _:
-                raise errors.MessageInvalidError("message belongs on a link")
+                raise errors.MessageInvalidError(
+                    "message must come over a link, not in a datagram"
+                )
 
-    def _heard(self, now_ms: int, item: wire.Ping | wire.Ack) -> None:
+    def _record_peer_sequence(self, now_ms: int, item: wire.Ping | wire.Ack) -> None:
         self.keeper.heard(now_ms, item.sender.name, item.sequence)
-        self.tables.epochs.heard(item.sequence)
+        self.tables.epochs.note_sequence(item.sequence)
 
-    def _stranger(
+    def _handle_unknown_sender(
         self, now_ms: int, source: packet.Address, item: wire.PeerMessage
     ) -> None:
-        # Operators' commands speak from machines that are no VM of the fleet.
+        # Operators' commands send these requests from machines that are not
+        # VMs of the fleet.
         if isinstance(item, wire.ExplainFlow | wire.ExplainTarget):
-            self.peers.send_to(source, self._explainer.answer(now_ms, item))
+            self.peers.send_to(source, self._explainer.explain(now_ms, item))
         else:
             self.outbox.count(message.Counter.PACKETS_UNKNOWN_SENDER)
 
@@ -204,18 +210,18 @@
         try:
             self._link_message(now_ms, event.sender, wire.decode(event.payload))
         except errors.MessageInvalidError as error:
-            self._invalid(event.sender, error)
+            self._drop_message(event.sender, error)
 
     def _link_message(self, now_ms: int, sender: str, item: wire.PeerMessage) -> None:
         match item:
             case wire.Keep():
-                if not self._outdated(now_ms):
-                    self._keep(now_ms, item)
+                if not self._discards_packet(now_ms):
+                    self._store_copies(now_ms, item)
             case wire.Forget():
                 for packed in item.flows:
-                    self.tables.replicator.kept.forget(wire.flow_key(packed))
+                    self.tables.replicator.copies.remove(wire.flow_key(packed))
             case wire.Handover():
-                if not self._outdated(now_ms):
+                if not self._discards_packet(now_ms):
                     self._handover(now_ms, item)
             case wire.LoadReport():
                 self.tables.loads.record(now_ms, sender, item)
@@ -224,9 +230,11 @@
             case wire.ConfigWant():
                 self.keeper.want(sender, item)
             case _:
-                raise errors.MessageInvalidError("message does not belong on a link")
+                raise errors.MessageInvalidError(
+                    "message must come in a datagram, not over a link"
+                )
 
-    def _invalid(self, sender: str, error: errors.MessageInvalidError) -> None:
+    def _drop_message(self, sender: str, error: errors.MessageInvalidError) -> None:
         self.outbox.count(message.Counter.MESSAGES_INVALID)
         self.outbox.put(
             message.log(
@@ -237,12 +245,12 @@
             )
         )
 
-    def _keep(self, now_ms: int, item: wire.Keep) -> None:
+    def _store_copies(self, now_ms: int, item: wire.Keep) -> None:
         for entry in item.entries:
             known = self._target(entry.target)
             if known is not None:
                 key = wire.flow_key(entry.flow)
-                self.tables.replicator.kept.learn(now_ms, key, known)
+                self.tables.replicator.copies.learn(now_ms, key, known)
 
     def _handover(self, now_ms: int, item: wire.Handover) -> None:
         current = self.tables.epochs.current
@@ -251,20 +259,24 @@
         for entry in item.entries:
             known = self._target(entry.target)
             key = wire.flow_key(entry.flow)
-            owner = current.config.service_at(
+            flow_service = current.config.service_at(
                 key.protocol, key.service_ip, key.service_port
             )
-            if known is None or owner is None or known.service != owner.name:
+            if (
+                known is None
+                or flow_service is None
+                or known.service != flow_service.name
+            ):
                 continue
             record = self.tables.flows.get(key)
             if record is None or record.origin is flow.Origin.GUESSED:
-                self.home.learn(now_ms, key, owner, known)
+                self.home.learn(now_ms, key, flow_service, known)
 
     def _target(self, name: str) -> target.Target | None:
         current = self.tables.epochs.current
         return current.config.targets.get(name) if current is not None else None
 
-    # Time, and what follows from changes.
+    # Periodic work, and reactions to changes of configuration or membership.
 
     def _tick(self, now_ms: int) -> None:
         self.membership.tick(now_ms, self.keeper.current is not None)
@@ -278,7 +290,7 @@
         self.rehomer.step(now_ms)
         self.tables.replicator.flush()
         self.tables.hints.expire(now_ms)
-        self.tables.replicator.kept.expire(now_ms)
+        self.tables.replicator.copies.expire(now_ms)
         self.tables.loads.expire(now_ms)
         self._expire_flows(now_ms)
         self._report_load(now_ms)
@@ -287,13 +299,13 @@
 
     def _expire_flows(self, now_ms: int) -> None:
         for item in self.tables.flows.expire(now_ms):
-            if item.record.counts:
+            if item.record.is_active:
                 self.outbox.count(message.Counter.FLOWS_EXPIRED)
 
     def _report_load(self, now_ms: int) -> None:
         if now_ms < self._report_ms:
             return
-        self._report_ms = now_ms + LOAD_REPORT_MS
+        self._report_ms = now_ms + LOAD_REPORT_INTERVAL_MS
         serving = [item.name for item in self.membership.others.values() if item.serves]
         self._emptiness.check(now_ms, self.membership.me, self.keeper.watching, serving)
         counts = self.tables.flows.open_by_target
@@ -302,7 +314,7 @@
         for name in serving:
             self.peers.send_link(name, report)
 
-    def _follow(self, now_ms: int) -> None:
+    def _apply_changes(self, now_ms: int) -> None:
         if not (self.membership.changed or self.keeper.changed):
             return
         announce = self.keeper.changed
@@ -313,7 +325,7 @@
         if self.keeper.current is not None:
             self._begin_epoch(now_ms, self.keeper.current)
         if announce:
-            self.membership.announce(ANNOUNCE_COUNT)
+            self.membership.announce(ANNOUNCE_FAN_OUT)
 
     def _begin_epoch(self, now_ms: int, current: config.Config) -> None:
         before = self.tables.epochs.current
@@ -324,26 +336,27 @@
         if before.config is current and before.same_members(members):
             return
         self.tables.epochs.advance(now_ms, epoch.Epoch(current, members))
-        self.home.reclaim()
-        self._note_return(now_ms, before, members)
+        self.home.end_delegations()
+        self._add_epoch_of_returned(now_ms, before, members)
         if before.config is not current:
-            self._revise(before.config, current)
+            self._update_targets(before.config, current)
         self.rehomer.start()
 
-    def _note_return(
+    def _add_epoch_of_returned(
         self,
         now_ms: int,
         before: epoch.Epoch,
         members: typing.Sequence[member.Member],
     ) -> None:
-        # VMs that come back from the other side of a cut were homes there. The
-        # flows they placed are unknown here, and are asked for as if the other
-        # side's view had been in force here too.
+        # VMs that return from the other side of a network partition were homes
+        # there, and this VM has no records of the flows that they placed. The
+        # other side's view is added as an earlier epoch, so that this VM sends
+        # inquiries about those flows to the returned VMs.
         back = [item for item in members if item.name not in before.members]
         if back:
-            self.tables.epochs.note(now_ms, epoch.Epoch(before.config, back))
+            self.tables.epochs.add_earlier(now_ms, epoch.Epoch(before.config, back))
 
-    def _revise(self, before: config.Config, after: config.Config) -> None:
+    def _update_targets(self, before: config.Config, after: config.Config) -> None:
         changed = {
             name
             for name, item in before.targets.items()
@@ -351,15 +364,16 @@
         }
         if not changed:
             return
-        self.tables.hints.revise(self._present)
-        self.tables.replicator.kept.revise(self._present)
+        self.tables.hints.update_targets(self._unchanged_target)
+        self.tables.replicator.copies.update_targets(self._unchanged_target)
         for key, record in self.tables.flows.items():
             if record.target.name not in changed:
                 continue
-            present = self._present(record.target)
+            present = self._unchanged_target(record.target)
             if present is None:
-                # The target is gone for good, or its address serves another
-                # service now. No packet of the flow may go there any more.
+                # The target has been removed from the configuration, or its
+                # address belongs to another service now. No further packet of
+                # the flow may be sent to that address.
                 self.tables.flows.remove(key)
                 self.outbox.count(message.Counter.FLOWS_DROPPED)
                 name = record.target.name
@@ -367,7 +381,7 @@
             else:
                 self.tables.flows.move(key, record, present)
 
-    def _present(self, item: target.Target) -> target.Target | None:
+    def _unchanged_target(self, item: target.Target) -> target.Target | None:
         present = self._target(item.name)
         if present is None or present.endpoint != item.endpoint:
             return None
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -1,8 +1,9 @@
-"""Explains why a flow or a target is where it is, as one entry VM sees it.
+"""Explains to operators the state of a flow or a target, as one entry VM sees it.
 
-Any VM can work out the default target, home and backup of a flow; only the home
-knows the rest. So a VM that is asked says what it knows and who the home is,
-and the operator's command goes on to ask there.
+Any VM can compute the default target, home and backup of a flow; only the home
+has the flow's record. A VM therefore responds with the facts that it has and
+with the address of the home, and the operator's command then sends the same
+request to the home.
 """
 
 import ipaddress
@@ -24,8 +25,8 @@
 _PROTOCOLS: typing.Final = {"tcp": packet.Protocol.TCP, "udp": packet.Protocol.UDP}
 
 
-def read_flow(text: str) -> packet.FlowKey:
-    """Read a flow in the form in which the logs write it.
+def parse_flow(text: str) -> packet.FlowKey:
+    """Parse a flow key in the notation of the logs.
 
     Args:
         text: ``tcp/CALLER:PORT>SERVICE:PORT`` or the same with ``udp``.
@@ -34,38 +35,40 @@
         The flow's key.
 
     Raises:
-        ValueError: The text has another form.
+        ValueError: The text is not in this notation.
     """
     name, _, rest = text.partition("/")
-    caller, separator, owner = rest.partition(">")
+    caller, separator, served = rest.partition(">")
     if name not in _PROTOCOLS or not separator:
-        raise ValueError(f"{text!r} is not like tcp/10.9.0.1:4000>10.1.0.1:443")
-    source, destination = packet.address(caller), packet.address(owner)
+        raise ValueError(
+            f"{text!r} is not a flow such as tcp/10.9.0.1:4000>10.1.0.1:443"
+        )
+    source, destination = packet.address(caller), packet.address(served)
     return packet.FlowKey(_PROTOCOLS[name], *source, *destination)
 
 
 class Explainer:
-    """Collects what one VM knows of a flow or a target."""
+    """Collects the facts that one VM has about a flow or a target."""
 
     def __init__(
         self, shared: tables.Tables, kept: keeper.Keeper, fleet: membership.Membership
     ) -> None:
-        """Read from the parts of an engine; nothing is changed."""
+        """Create an explainer that reads the parts of an engine."""
         self._tables = shared
         self._keeper = kept
         self._fleet = fleet
 
-    def answer(
+    def explain(
         self, now_ms: int, asked: wire.ExplainFlow | wire.ExplainTarget
     ) -> wire.Explained:
-        """Answer an operator's question.
+        """Respond to an operator's request to explain a flow or a target.
 
         Args:
             now_ms: Present time in milliseconds.
-            asked: What to explain.
+            asked: The request, which names the flow or target.
 
         Returns:
-            Facts in the order in which a reader wants them.
+            Facts in the order in which they are printed.
 
         Raises:
             errors.MessageInvalidError: The flow key is malformed.
@@ -86,42 +89,42 @@
         current = self._tables.epochs.current
         if current is None:
             return {**facts, "reason": "this VM has no configuration yet"}
-        owner = current.config.service_at(
+        flow_service = current.config.service_at(
             key.protocol, key.service_ip, key.service_port
         )
-        if owner is None:
-            return {**facts, "reason": "no rule names this address"}
-        place = current.locate(key, owner)
+        if flow_service is None:
+            return {**facts, "reason": "no rule has this address"}
+        place = current.locate(key, flow_service)
         default = place.default.name if place.default is not None else NONE
-        facts["service"] = owner.name
+        facts["service"] = flow_service.name
         facts["default_target"] = default
         facts.update(self._vm("home", place.home))
         facts.update(self._vm("backup", place.backup))
-        facts.update(self._knowledge(now_ms, key))
+        facts.update(self._sources(now_ms, key))
         record = self._tables.flows.get(key)
         if record is not None:
             facts["origin"] = record.origin.value
             facts["flow_state"] = record.state.value
             facts["known_for_ms"] = str(now_ms - record.opened_ms)
-            facts["silent_for_ms"] = str(now_ms - record.seen_ms)
-        facts["reason"] = _reason(facts, owner, self._fleet.me.name)
+            facts["silent_for_ms"] = str(now_ms - record.last_packet_ms)
+        facts["reason"] = _reason(facts, flow_service, self._fleet.me.name)
         return facts
 
-    def _knowledge(self, now_ms: int, key: packet.FlowKey) -> dict[str, str]:
+    def _sources(self, now_ms: int, key: packet.FlowKey) -> dict[str, str]:
         record = self._tables.flows.get(key)
         sources = {
             "record": record.target if record is not None else None,
             "hint": self._tables.hints.get(now_ms, key),
-            "copy": self._tables.replicator.kept.get(now_ms, key),
+            "copy": self._tables.replicator.copies.get(now_ms, key),
         }
         facts = {}
         for name, known in sources.items():
             facts[name] = known.name if known is not None else NONE
         for known in sources.values():
             if known is not None:
-                facts["draining"] = _word(not known.accepts)
+                facts["draining"] = _yes_no(not known.accepts)
                 suspected = self._tables.health.suspected(now_ms, known.name)
-                facts["suspected"] = _word(suspected)
+                facts["suspected"] = _yes_no(suspected)
                 break
         return facts
 
@@ -137,10 +140,10 @@
         current = self._tables.epochs.current
         known = current.config.targets.get(name) if current is not None else None
         if known is None:
-            return {**facts, "reason": "no rule names this target"}
-        facts.update(_rule_of(known))
+            return {**facts, "reason": "no rule has this target"}
+        facts.update(_rule_facts(known))
         suspected = self._tables.health.suspected(now_ms, name)
-        facts["suspected"] = _word(suspected)
+        facts["suspected"] = _yes_no(suspected)
         here = self._tables.flows.open_by_target[name]
         elsewhere = self._tables.loads.elsewhere(name)
         facts["open_here"] = str(here)
@@ -149,7 +152,7 @@
         return facts
 
 
-def _rule_of(known: target.Target) -> dict[str, str]:
+def _rule_facts(known: target.Target) -> dict[str, str]:
     return {
         "service": known.service,
         "endpoint": str(known.endpoint),
@@ -157,14 +160,14 @@
         "slots": str(known.slots),
         "connections": str(known.connections),
         "weight": str(known.weight),
-        "draining": _word(known.draining),
-        "retired": _word(known.retired),
+        "draining": _yes_no(known.draining),
+        "retired": _yes_no(known.retired),
     }
 
 
 def _target_reason(known: target.Target, suspected: bool, flows: int) -> str:
     if not known.accepts:
-        cause = "its line has left the rules" if known.retired else "a drain rule"
+        cause = "its removal from the rules" if known.retired else "a drain rule"
         left = f"{flows} open flows stay until they end" if flows else "it is empty"
         return f"gets no new flow because of {cause}; {left}"
     if suspected:
@@ -172,23 +175,29 @@
     return "takes new flows by its weight"
 
 
-def _reason(facts: dict[str, str], owner: service.Service, me: str) -> str:
+def _reason(facts: dict[str, str], flow_service: service.Service, me: str) -> str:
     known = facts["record"]
     if known == NONE:
         if facts["home"] != me:
             return "this VM is not the home; the home decides"
-        return "no record here: the flow has not begun, has ended or was not asked for"
+        return (
+            "no record here: the flow has not begun, has ended, or no inquiry about "
+            "it was sent to former homes"
+        )
     if facts["origin"] == "guessed":
-        return "no VM had a record; tried until a target answers"
+        return "no VM had a record; possible targets are tried until one answers"
     if known == facts["default_target"]:
-        return "on the default target that hashing gives under this configuration"
-    if owner.retired:
-        return "its service has left the rules; the flow stays where it began"
+        return "on the default target that hashing selects under this configuration"
+    if flow_service.retired:
+        return (
+            "its service was removed from the rules; the flow stays on the target "
+            "where it began"
+        )
     return (
-        "not on its default target: placed elsewhere when it opened, for load or "
-        "silence, or the default changed after it opened"
+        "not on its default target: the default was loaded or silent when the flow "
+        "opened, or the default changed afterwards"
     )
 
 
-def _word(value: bool) -> str:
+def _yes_no(value: bool) -> str:
     return "yes" if value else "no"
--- a/eelgrasswick/homes/guess.py
+++ b/eelgrasswick/homes/guess.py
@@ -1,8 +1,9 @@
-"""Flows of whose target a home has no record, or a doubtful one.
+"""Finds the target of a flow for which the home has no record or a doubtful one.
 
-A packet in the middle of such a flow goes to the possible targets in turn: the
-one that holds the flow takes it, and any other resets it. Those resets are
-held back from the caller until every possible target has sent one.
+The home sends a packet from the middle of such a flow to the possible targets
+in turn: the one that holds the flow accepts it, and any other resets it. The
+home holds those resets back from the caller until every possible target has
+sent one.
 """
 
 import typing
@@ -20,26 +21,30 @@
 
 MAX_CANDIDATES: typing.Final = 16
 _COUNT: typing.Final = message.Counter
-_VIEWS: typing.Final = 2
+# With more default targets in the window, the former home's choice is ambiguous.
+_MAX_DEFAULTS: typing.Final = 2
 
 
 class Guesser:
-    """Finds targets of flows that nobody could name."""
+    """Finds targets of flows of which no VM has a record."""
 
     def __init__(self, name: str, shared: tables.Tables) -> None:
-        """Guess as the VM ``name``."""
+        """Create the guesser of the VM ``name``."""
         self._name = name
         self._tables = shared
 
     def begin(
-        self, now_ms: int, key: packet.FlowKey, owner: service.Service
+        self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
     ) -> flow.Record | None:
-        """Record a guess for a flow; None when no target may see its packets."""
-        # The address belonged to another service before, or may belong to one
-        # by newer rules that this VM has not got yet: the packet may be meant
-        # for that one, and no target of this one may see it.
-        doubtful = owner.reused or (owner.retired and self._tables.epochs.behind)
-        candidates = [] if doubtful else self._candidates(key, owner)
+        """Record a guess for a flow; return None if no target may get its packets."""
+        # The address belonged to another service before, or may belong to
+        # another one under newer rules that this VM has not received yet. The
+        # packet may be meant for that service, and no target of this service
+        # may receive it.
+        doubtful = flow_service.reused or (
+            flow_service.retired and self._tables.epochs.behind
+        )
+        candidates = [] if doubtful else self._candidates(key, flow_service)
         if not candidates:
             self._tables.outbox.count(_COUNT.PACKETS_UNKNOWN_FLOW)
             return None
@@ -48,7 +53,7 @@
             flow.Origin.GUESSED,
             flow.State.OPEN,
             now_ms,
-            owner.idle_s * 1000,
+            flow_service.idle_s * 1000,
         )
         self._tables.flows.add(key, record)
         self._tables.outbox.count(_COUNT.FLOWS_GUESSED)
@@ -56,89 +61,92 @@
         self._tables.outbox.put(message.log("flow_guessed", flow=str(key), target=name))
         return record
 
-    def disown(
+    def convert_to_guess(
         self,
         item: packet.Packet,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
         record: flow.Record,
     ) -> None:
-        """Doubt a flow whose caller has answered another target's SYN-ACK."""
-        # While zones are cut off from each other, or views differ, a repeated
-        # SYN can be placed on a second target by a second home. The caller
-        # answers one of them. The other would reset the caller's packets, and
-        # passed on as valid that reset would break an open flow. So the home
-        # whose target the caller did not answer takes the flow for unknown.
+        """Mark a flow as guessed whose caller acknowledged another SYN-ACK."""
+        # During a network partition, or while views differ, a second home can
+        # place a retransmitted SYN on a second target. The caller acknowledges
+        # the SYN-ACK of one of the two. The other target would reset the
+        # caller's packets, and that reset would break an open flow if it were
+        # forwarded as valid. The home whose target the caller did not
+        # acknowledge therefore treats the flow's target as unknown.
         record.syn_ack_sequence = None
         record.origin = flow.Origin.GUESSED
-        record.first = item
+        record.first_packet = item
         self._tables.outbox.count(_COUNT.FLOWS_GUESSED)
-        self.refute(key, owner, record)
+        self.try_next_target(key, flow_service, record)
 
-    def refute(
-        self, key: packet.FlowKey, owner: service.Service, record: flow.Record
+    def try_next_target(
+        self, key: packet.FlowKey, flow_service: service.Service, record: flow.Record
     ) -> bool:
         """Try the next possible target, because this one does not hold the flow.
 
         Args:
             key: The flow.
-            owner: Its service.
-            record: The guess; it points to the next target afterwards.
+            flow_service: Service to which the flow goes.
+            record: The guess; its target is changed to the next one.
 
         Returns:
             False when no possible target is left.
         """
-        record.refuted = record.refuted | {record.target.name}
+        record.ruled_out = record.ruled_out | {record.target.name}
         rest = [
             other
-            for other in self._candidates(key, owner)
-            if other.name not in record.refuted
+            for other in self._candidates(key, flow_service)
+            if other.name not in record.ruled_out
         ]
         if not rest:
             return False
         self._tables.flows.move(key, record, rest[0])
-        if record.first is not None:
-            send = message.SendDatagram(record.target.endpoint, record.first.raw)
+        if record.first_packet is not None:
+            send = message.SendDatagram(record.target.endpoint, record.first_packet.raw)
             self._tables.outbox.put(send)
         return True
 
     def _candidates(
-        self, key: packet.FlowKey, owner: service.Service
+        self, key: packet.FlowKey, flow_service: service.Service
     ) -> list[target.Target]:
         epochs = self._tables.epochs
         current = epochs.current
         assert current is not None
-        found = {item.name: item for item in epochs.possible_targets(key, owner)}
-        for item in current.ranked_all(key, owner):
+        found = {item.name: item for item in epochs.possible_targets(key, flow_service)}
+        for item in current.ranked_all(key, flow_service):
             found.setdefault(item.name, item)
         present = current.config.targets
         names = [name for name in found if name in present]
         return [present[name] for name in names[:MAX_CANDIDATES]]
 
-    # First datagrams.
+    # The first datagrams of UDP flows.
 
-    def certain(self, now_ms: int, key: packet.FlowKey, owner: service.Service) -> bool:
-        """Tell whether every VM that may have placed a flow can be asked."""
-        former = self._tables.epochs.earlier_owners(now_ms, key, owner)
+    def all_owners_reachable(
+        self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
+    ) -> bool:
+        """Return whether every VM that may have placed the flow is reachable."""
+        former = self._tables.epochs.earlier_owners(now_ms, key, flow_service)
         peers = self._tables.peers
         return all(name == self._name or peers.reachable(name) for name in former)
 
-    def agreed(
-        self, now_ms: int, key: packet.FlowKey, owner: service.Service
+    def agreed_target(
+        self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
     ) -> target.Target | None:
-        """Return where a former home that can't be asked would place a flow.
+        """Return the target on which an unreachable former home would place a flow.
 
-        That home may have started this very request. It chose the default
-        target of its own rules, which knows the requests it ran; on any other
-        target the request would run twice.
+        The former home may have started this same request. It chose the default
+        target under its own rules, and that target detects a request that it
+        has already run; on any other target the request would run twice.
 
         Returns:
-            The target, or None when it is not clear or takes no new flow.
+            The target, or None when it is ambiguous or takes no new flow.
         """
         current = self._tables.epochs.current
         assert current is not None
-        defaults = self._tables.epochs.recent_defaults(now_ms, key, owner)
-        if not 0 < len(defaults) <= _VIEWS:
+        defaults = self._tables.epochs.recent_defaults(now_ms, key, flow_service)
+        if not 0 < len(defaults) <= _MAX_DEFAULTS:
             return None
         present = current.config.targets.get(defaults[-1].name)
         return present if present is not None and present.accepts else None
--- a/eelgrasswick/homes/rehome.py
+++ b/eelgrasswick/homes/rehome.py
@@ -1,4 +1,4 @@
-"""Moves what this VM knows of flows to their homes after a change of epoch."""
+"""Sends the flow records of this VM to new homes after a change of epoch."""
 
 import typing
 
@@ -11,62 +11,63 @@
     tables,
 )
 
-SLICE: typing.Final = 1000
+FLOWS_PER_TICK: typing.Final = 1000
 
 
 class Rehomer:
-    """Goes through records and kept exceptions in slices, one slice a tick.
+    """Processes records and copies of exceptions, a batch of them per tick.
 
-    A home can hold hundreds of thousands of flows. Gone through in one go they
-    would hold up packets and heartbeats for a second, and the others would take
-    the VM for dead. Until a flow's turn comes, its former home still answers
-    for it when the new home asks.
+    A home can have hundreds of thousands of flows. Processing all of them at
+    once would delay packets and heartbeats for a second, and the peers would
+    confirm the VM dead. Until a flow has been processed, its former home still
+    responds to inquiries of the new home about it.
     """
 
     def __init__(self, name: str, shared: tables.Tables) -> None:
-        """Work as the VM ``name``."""
+        """Create the rehomer of the VM ``name``."""
         self._name = name
         self._tables = shared
-        self._waiting: typing.Iterator[packet.FlowKey] = iter(())
+        self._remaining: typing.Iterator[packet.FlowKey] = iter(())
 
     def start(self) -> None:
-        """Begin anew, because homes may have changed."""
+        """Restart with all records and copies, because homes may have changed."""
         records = [key for key, _ in self._tables.flows.items()]
-        kept = [key for key, _ in self._tables.replicator.kept.items()]
-        self._waiting = iter(records + kept)
+        kept = [key for key, _ in self._tables.replicator.copies.items()]
+        self._remaining = iter(records + kept)
 
     def step(self, now_ms: int) -> None:
-        """Go through one slice."""
-        for _ in range(SLICE):
-            key = next(self._waiting, None)
+        """Process the next ``FLOWS_PER_TICK`` flows."""
+        for _ in range(FLOWS_PER_TICK):
+            key = next(self._remaining, None)
             if key is None:
                 return
-            self._one(now_ms, key)
+            self._rehome(now_ms, key)
 
-    def _one(self, now_ms: int, key: packet.FlowKey) -> None:
+    def _rehome(self, now_ms: int, key: packet.FlowKey) -> None:
         shared = self._tables
         record = shared.flows.get(key)
-        kept = shared.replicator.kept.get(now_ms, key)
+        kept = shared.replicator.copies.get(now_ms, key)
         known = record.target if record is not None else kept
         current = shared.epochs.current
         if known is None or current is None:
             return
-        owner = current.config.services.get(known.service)
-        if owner is None:
+        flow_service = current.config.services.get(known.service)
+        if flow_service is None:
             return
-        place = current.locate(key, owner)
+        place = current.locate(key, flow_service)
         if record is not None and place.home not in (None, self._name):
             self._demote(now_ms, key, record)
-        if record is not None and not _certain(record):
+        if record is not None and not _target_is_certain(record):
             return
         default = place.default.name if place.default is not None else ""
         if known.name != default:
             self._send(key, known, place.home, place.backup)
 
     def _demote(self, now_ms: int, key: packet.FlowKey, record: flow.Record) -> None:
-        # Counted here and at the new home, a flow would fill its target twice.
+        # The record is removed here, because a flow that is counted both here
+        # and at the new home would occupy two slots of its target.
         self._tables.flows.remove(key)
-        if _certain(record):
+        if _target_is_certain(record):
             self._tables.hints.learn(now_ms, key, record.target)
 
     def _send(
@@ -78,10 +79,10 @@
     ) -> None:
         replicator = self._tables.replicator
         if to_home is not None and to_home != self._name:
-            replicator.hand_over(to_home, key, known)
+            replicator.queue_handover(to_home, key, known)
         elif to_backup is not None and to_backup != self._name:
-            replicator.keep(to_backup, key, known)
+            replicator.queue_copy(to_backup, key, known)
 
 
-def _certain(record: flow.Record) -> bool:
-    return record.counts and record.origin is not flow.Origin.GUESSED
+def _target_is_certain(record: flow.Record) -> bool:
+    return record.is_active and record.origin is not flow.Origin.GUESSED
--- a/eelgrasswick/homes/replica.py
+++ b/eelgrasswick/homes/replica.py
@@ -1,8 +1,9 @@
-"""Copies of exceptions: flows that are not on their default target.
+"""Copies of exceptions, which are flows that are not on their default target.
 
-A flow on its default target needs no copy, because every VM can work the
-target out. A flow placed elsewhere is known to its home only, so the home sends
-it to a backup, and to the next home when homes change.
+A flow on its default target needs no copy, because every VM can compute that
+target. Of a flow on another target only the home has a record. The home
+therefore sends a copy to the backup, and hands the flow over to the next home
+when homes change.
 """
 
 import typing
@@ -16,69 +17,75 @@
 from eelgrasswick.fleet import peer
 from eelgrasswick.homes import hint
 
-KEEP_MS: typing.Final = 3_600_000
-KEEP_FLOWS: typing.Final = 500_000
-BATCH: typing.Final = 500
+COPY_TTL_MS: typing.Final = 3_600_000
+MAX_COPIES: typing.Final = 500_000
+BATCH_FLOWS: typing.Final = 500
 BATCHES_PER_TICK: typing.Final = 8
 
 
 class Replicator:
-    """Sends a home's exceptions in batches and keeps those of other homes."""
+    """Sends a home's exceptions in batches and stores those of other homes.
+
+    Attributes:
+        copies: Copies of the exceptions of other homes.
+    """
 
     def __init__(self, peers: peer.Peers, outbox: message.Outbox) -> None:
-        """Start with nothing kept and nothing to send."""
+        """Create a replicator without copies and with nothing to send."""
         self._peers = peers
         self._outbox = outbox
-        self.kept = hint.HintTable(KEEP_MS, KEEP_FLOWS)
-        self._keep: dict[str, dict[bytes, str]] = {}
-        self._handover: dict[str, dict[bytes, str]] = {}
-        self._forget: dict[str, set[bytes]] = {}
+        self.copies = hint.HintTable(COPY_TTL_MS, MAX_COPIES)
+        self._copies_to_send: dict[str, dict[bytes, str]] = {}
+        self._handovers: dict[str, dict[bytes, str]] = {}
+        self._removals: dict[str, set[bytes]] = {}
 
     @property
     def idle(self) -> bool:
         """True when nothing waits to be sent."""
-        return not (self._keep or self._handover or self._forget)
+        return not (self._copies_to_send or self._handovers or self._removals)
 
     def clear(self) -> None:
-        """Drop what is kept for others and what waits to be sent."""
-        self.kept.clear()
-        self._keep.clear()
-        self._handover.clear()
-        self._forget.clear()
-
-    def keep(self, receiver: str, flow: packet.FlowKey, chosen: target.Target) -> None:
-        """Have a backup keep an exception."""
-        self._keep.setdefault(receiver, {})[flow.packed] = chosen.name
-
-    def forget(self, receiver: str, flow: packet.FlowKey) -> None:
-        """Tell a backup that a flow has ended."""
+        """Remove the copies of other homes and all that waits to be sent."""
+        self.copies.clear()
+        self._copies_to_send.clear()
+        self._handovers.clear()
+        self._removals.clear()
+
+    def queue_copy(
+        self, receiver: str, flow: packet.FlowKey, chosen: target.Target
+    ) -> None:
+        """Queue the copy of an exception for a backup."""
+        self._copies_to_send.setdefault(receiver, {})[flow.packed] = chosen.name
+
+    def queue_removal(self, receiver: str, flow: packet.FlowKey) -> None:
+        """Queue the removal of a backup's copy, because the flow has ended."""
         packed = flow.packed
-        if self._keep.get(receiver, {}).pop(packed, None) is None:
-            self._forget.setdefault(receiver, set()).add(packed)
+        if self._copies_to_send.get(receiver, {}).pop(packed, None) is None:
+            self._removals.setdefault(receiver, set()).add(packed)
 
-    def hand_over(
+    def queue_handover(
         self, receiver: str, flow: packet.FlowKey, chosen: target.Target
     ) -> None:
-        """Tell the new home of a flow where the flow is."""
-        self._handover.setdefault(receiver, {})[flow.packed] = chosen.name
+        """Queue the handover of a flow and its target to the flow's new home."""
+        self._handovers.setdefault(receiver, {})[flow.packed] = chosen.name
 
     def flush(self) -> None:
-        """Send some of what waits; called once a tick.
+        """Send up to ``BATCHES_PER_TICK`` queued batches; called once a tick.
 
-        A drain can turn a tenth of all flows into exceptions at once. Sent in
-        one go they would stand in front of heartbeats and make living VMs look
-        dead, so each tick sends a bounded number of batches.
+        A drain can turn a tenth of all flows into exceptions at once. If they
+        were all sent at once, heartbeats would queue behind them and living VMs
+        would appear dead. Each tick therefore sends a bounded number of batches.
         """
         budget = BATCHES_PER_TICK
-        budget = self._flush_placed(self._handover, wire.Handover, budget)
-        budget = self._flush_placed(self._keep, wire.Keep, budget)
-        while budget and self._forget:
-            receiver, flows = next(iter(self._forget.items()))
-            batch = tuple(flows)[:BATCH]
+        budget = self._flush_placed(self._handovers, wire.Handover, budget)
+        budget = self._flush_placed(self._copies_to_send, wire.Keep, budget)
+        while budget and self._removals:
+            receiver, flows = next(iter(self._removals.items()))
+            batch = tuple(flows)[:BATCH_FLOWS]
             self._peers.send_link(receiver, wire.Forget(batch))
             flows.difference_update(batch)
             if not flows:
-                del self._forget[receiver]
+                del self._removals[receiver]
             budget -= 1
 
     def _flush_placed(
@@ -89,7 +96,9 @@
     ) -> int:
         while budget and waiting:
             receiver, flows = next(iter(waiting.items()))
-            batch = tuple(wire.Placed(*item) for item in list(flows.items())[:BATCH])
+            batch = tuple(
+                wire.Placed(*item) for item in list(flows.items())[:BATCH_FLOWS]
+            )
             self._peers.send_link(receiver, kind(batch))
             for entry in batch:
                 del flows[entry.flow]
--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -1,9 +1,10 @@
 """The path of a packet through any entry VM.
 
-A caller's packet goes straight to its target when this VM knows the target,
-and by the flow's home when it does not. Packets that open, end or reset a flow
-always go by the home, so that one VM sees the whole life of a flow. A target's
-answer goes straight back to the caller, and teaches this VM the flow's target.
+A VM that has a hint of the flow's target sends a caller's packet directly to
+the target; otherwise it forwards the packet to the flow's home. Packets that
+open, end or reset a flow always go through the home, so that one VM sees the
+whole life of a flow. A target's answer goes directly back to the caller, and
+the VM that sends it there stores a hint of the flow's target.
 """
 
 import typing
@@ -28,7 +29,11 @@
 
 
 class Switch:
-    """Handles packets as one VM; the home part decides for its own flows."""
+    """Forwards packets at one VM.
+
+    The ``home.Home`` of the VM decides about the flows of which the VM is the
+    home.
+    """
 
     def __init__(
         self,
@@ -37,7 +42,7 @@
         shared: tables.Tables,
         decider: home.Home,
     ) -> None:
-        """Switch packets as the VM ``name``."""
+        """Create the switch of the VM ``name``."""
         self._name = name
         self._codec = codec
         self._tables = shared
@@ -51,18 +56,18 @@
             return
         sender = current.config.target_at(event.source)
         if sender is None:
-            self._request(now_ms, item, 0)
+            self._handle_caller_packet(now_ms, item, 0)
         else:
-            self._answer(now_ms, item, sender)
+            self._handle_target_packet(now_ms, item, sender)
 
     def forward(self, now_ms: int, event: wire.Forward) -> None:
-        """Handle a caller's packet that another VM passed on."""
+        """Handle a caller's packet that another VM forwarded."""
         item = self._decode(event.packet)
         if item is not None and self._tables.epochs.current is not None:
-            self._request(now_ms, item, event.hops)
+            self._handle_caller_packet(now_ms, item, event.hops)
 
     def relay(self, now_ms: int, event: wire.Relay) -> None:
-        """Handle a target's control packet that another VM passed on."""
+        """Handle a target's control packet that another VM forwarded."""
         current = self._tables.epochs.current
         item = self._decode(event.packet)
         if item is None or current is None:
@@ -71,29 +76,35 @@
         if sender is None:
             self._tables.outbox.count(_COUNT.PACKETS_UNKNOWN_SENDER)
             return
-        self._answer_control(now_ms, item, sender, event.hops)
+        self._handle_target_control(now_ms, item, sender, event.hops)
+
+    def handle_inquiry(self, now_ms: int, sender: str, event: wire.Ask) -> None:
+        """Respond to the present home of a flow about the flow's target.
 
-    def ask(self, now_ms: int, sender: str, event: wire.Ask) -> None:
-        """Answer the present home of a flow that this VM may know."""
+        This VM may have a record, a hint or a copy of the flow from an earlier
+        epoch. If it has none, it delegates the flow to the VM that inquires.
+        """
         key = wire.flow_key(event.flow)
         self._home.cancel(key)
-        known = self._known(now_ms, key)
+        known = self._known_target(now_ms, key)
         if known is None and not self._home.delegate_to(now_ms, key, sender):
             return
         name = known.name if known is not None else ""
         self._tables.peers.send(sender, wire.Tell(event.flow, name))
 
-    def tell(self, now_ms: int, sender: str, event: wire.Tell) -> None:
-        """Take a former home's answer."""
+    def handle_inquiry_response(
+        self, now_ms: int, sender: str, event: wire.Tell
+    ) -> None:
+        """Handle the response of a former home to an inquiry of this VM."""
         key = wire.flow_key(event.flow)
-        self._home.tell(now_ms, sender, key, event.target)
+        self._home.take_response(now_ms, sender, key, event.target)
 
-    def _known(self, now_ms: int, key: packet.FlowKey) -> target.Target | None:
+    def _known_target(self, now_ms: int, key: packet.FlowKey) -> target.Target | None:
         record = self._tables.flows.get(key)
-        if record is not None and record.counts and record.origin.value != "guessed":
+        if record is not None and record.is_active and record.origin.value != "guessed":
             return record.target
         hint = self._tables.hints.get(now_ms, key)
-        return hint or self._tables.replicator.kept.get(now_ms, key)
+        return hint or self._tables.replicator.copies.get(now_ms, key)
 
     def _decode(self, payload: bytes) -> packet.Packet | None:
         try:
@@ -110,38 +121,42 @@
             )
             return None
 
-    def _request(self, now_ms: int, item: packet.Packet, hops: int) -> None:
+    def _handle_caller_packet(
+        self, now_ms: int, item: packet.Packet, hops: int
+    ) -> None:
         self._tables.outbox.count(_COUNT.PACKETS_REQUEST)
         key = item.request_key()
         current = self._tables.epochs.current
         assert current is not None
-        owner = current.config.service_at(
+        flow_service = current.config.service_at(
             key.protocol, key.service_ip, key.service_port
         )
-        if owner is None:
+        if flow_service is None:
             self._no_service(item, current)
             return
-        if not item.controls and self._direct(now_ms, item, key):
+        if not item.controls and self._send_by_hint(now_ms, item, key):
             return
-        receiver = self._receiver(now_ms, current, key, owner)
+        receiver = self._deciding_vm(now_ms, current, key, flow_service)
         if receiver == self._name or (hops and self._tables.flows.get(key)):
-            self._home.request(now_ms, item, key, owner)
+            self._home.request(now_ms, item, key, flow_service)
         else:
-            self._pass_on(receiver, wire.Forward(hops + 1, item.raw))
+            self._send_to_vm(receiver, wire.Forward(hops + 1, item.raw))
 
-    def _receiver(
+    def _deciding_vm(
         self,
         now_ms: int,
         current: epoch.Epoch,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
     ) -> str | None:
-        home_name = current.locate(key, owner).home
+        home_name = current.locate(key, flow_service).home
         if home_name != self._name:
             return home_name
         return self._home.delegate_of(now_ms, key) or home_name
 
-    def _direct(self, now_ms: int, item: packet.Packet, key: packet.FlowKey) -> bool:
+    def _send_by_hint(
+        self, now_ms: int, item: packet.Packet, key: packet.FlowKey
+    ) -> bool:
         if self._tables.flows.get(key) is not None:
             return False
         known = self._tables.hints.get(now_ms, key)
@@ -150,7 +165,9 @@
         self._tables.outbox.put(message.SendDatagram(known.endpoint, item.raw))
         return True
 
-    def _pass_on(self, receiver: str | None, item: wire.Forward | wire.Relay) -> None:
+    def _send_to_vm(
+        self, receiver: str | None, item: wire.Forward | wire.Relay
+    ) -> None:
         outbox = self._tables.outbox
         if receiver is None:
             outbox.count(_COUNT.PACKETS_NO_HOME)
@@ -169,12 +186,14 @@
             refusal = packet.build_refusal(item, kind, NO_SERVICE_RETRY_MS)
             outbox.put(message.SendFabric(refusal))
 
-    def _answer(self, now_ms: int, item: packet.Packet, sender: target.Target) -> None:
+    def _handle_target_packet(
+        self, now_ms: int, item: packet.Packet, sender: target.Target
+    ) -> None:
         if item.controls:
-            self._answer_control(now_ms, item, sender, 0)
+            self._handle_target_control(now_ms, item, sender, 0)
             return
-        owner = self._owner(item, sender)
-        if owner is None:
+        flow_service = self._service_of(item, sender)
+        if flow_service is None:
             return
         self._tables.outbox.count(_COUNT.PACKETS_ANSWER)
         key = item.answer_key()
@@ -182,35 +201,35 @@
         if record is None:
             self._tables.hints.learn(now_ms, key, sender)
         else:
-            self._home.correct(key, sender)
+            self._home.confirm_target(key, sender)
         self._tables.outbox.put(message.SendFabric(item.raw))
 
-    def _answer_control(
+    def _handle_target_control(
         self, now_ms: int, item: packet.Packet, sender: target.Target, hops: int
     ) -> None:
-        owner = self._owner(item, sender)
+        flow_service = self._service_of(item, sender)
         current = self._tables.epochs.current
-        if owner is None or current is None:
+        if flow_service is None or current is None:
             return
         key = item.answer_key()
-        receiver = self._receiver(now_ms, current, key, owner)
+        receiver = self._deciding_vm(now_ms, current, key, flow_service)
         here = self._tables.flows.get(key) is not None
         if receiver == self._name or (hops and here):
-            self._home.answer(now_ms, item, key, sender, owner)
+            self._home.answer(now_ms, item, key, sender, flow_service)
         else:
-            self._pass_on(receiver, wire.Relay(hops + 1, sender.name, item.raw))
+            self._send_to_vm(receiver, wire.Relay(hops + 1, sender.name, item.raw))
 
-    def _owner(
+    def _service_of(
         self, item: packet.Packet, sender: target.Target
     ) -> service.Service | None:
-        # A target speaks for its own service only. Let through, an answer of a
-        # target that was moved to another service would reach a caller as the
-        # answer of the service it had asked.
+        # A target may send answers of its own service only. If this VM forwarded
+        # the answer of a target that was moved to another service, the caller
+        # would treat it as an answer of the service that it had called.
         current = self._tables.epochs.current
         assert current is not None
         source = item.source
-        owner = current.config.service_at(item.protocol, source.ip, source.port)
-        if owner is None or owner.name != sender.service:
+        flow_service = current.config.service_at(item.protocol, source.ip, source.port)
+        if flow_service is None or flow_service.name != sender.service:
             self._tables.outbox.count(_COUNT.PACKETS_UNKNOWN_SENDER)
             return None
-        return owner
+        return flow_service
