--- a/eelgrasswick/commands/command_show.py
+++ b/eelgrasswick/commands/command_show.py
@@ -23,7 +23,7 @@
 MAX_ASKED: typing.Final = 5
 _GONE: typing.Final = "gone"
 
-Question = wire.ExplainFlow | wire.ExplainTarget
+Question = wire.ExplainFlowRequest | wire.ExplainTargetRequest
 Flow = typing.Annotated[str, cappa.Arg(long="--flow", help="explain a flow")]
 Target = typing.Annotated[str, cappa.Arg(long="--target", help="explain a target")]
 Vm = typing.Annotated[str, cappa.Arg(long="--vm", help="peer address of a VM to ask")]
@@ -58,8 +58,8 @@
 
     def _question(self) -> Question | None:
         if self.flow:
-            return wire.ExplainFlow(explain.read_flow(self.flow).packed)
-        return wire.ExplainTarget(self.target) if self.target else None
+            return wire.ExplainFlowRequest(explain.read_flow(self.flow).packed)
+        return wire.ExplainTargetRequest(self.target) if self.target else None
 
     async def _in_force(self, reactor: typing.Any) -> None:
         rows = await self._store(reactor).read_prefix(store.IN_FORCE_PREFIX)
@@ -89,10 +89,10 @@
     def __init__(self, reactor: typing.Any, source: str) -> None:
         """Ask from an address; an empty text lets the system choose it."""
         self._reactor = reactor
-        self._answers: dict[packet.Address, defer.Deferred[wire.Explained]] = {}
+        self._answers: dict[packet.Address, defer.Deferred[wire.ExplainResponse]] = {}
         self._port = reactor.listenUDP(0, self, source)
 
-    async def ask(self, vm: packet.Address, question: Question) -> wire.Explained:
+    async def ask(self, vm: packet.Address, question: Question) -> wire.ExplainResponse:
         """Return a VM's answer.
 
         Raises:
@@ -100,7 +100,7 @@
         """
         host, _, port = str(vm).rpartition(":")
         for _ in range(TRIES):
-            answer: defer.Deferred[wire.Explained] = defer.Deferred()
+            answer: defer.Deferred[wire.ExplainResponse] = defer.Deferred()
             self._answers[vm] = answer
             transport = typing.cast(typing.Any, self.transport)
             transport.write(wire.encode(question), (host, int(port)))
@@ -122,7 +122,7 @@
             item = wire.decode(datagram)
         except errors.MessageInvalidError:
             return
-        if isinstance(item, wire.Explained) and answer is not None:
+        if isinstance(item, wire.ExplainResponse) and answer is not None:
             del self._answers[vm]
             answer.callback(item)
 
--- a/eelgrasswick/fleet/keeper.py
+++ b/eelgrasswick/fleet/keeper.py
@@ -149,12 +149,12 @@
         """Ask a VM for its configuration when it is newer."""
         if sequence > self.sequence and now_ms >= self._want_ms:
             self._want_ms = now_ms + WANT_MS
-            self._peers.send_link(name, wire.ConfigWant(self.sequence))
+            self._peers.send_link(name, wire.ConfigRequest(self.sequence))
 
-    def want(self, sender: str, item: wire.ConfigWant) -> None:
+    def want(self, sender: str, item: wire.ConfigRequest) -> None:
         """Send the document to a VM that has an older one."""
         if self.sequence > item.sequence:
-            self._peers.send_link(sender, wire.ConfigOffer(self._value))
+            self._peers.send_link(sender, wire.ConfigResponse(self._value))
 
     def tick(
         self,
--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -138,7 +138,7 @@
         self._hear(now_ms, item.sender, item.sequence, item.updates)
         self._clear_suspicion(now_ms, item.sender)
 
-    def ping_via(self, source: packet.Address, item: wire.PingVia) -> None:
+    def ping_via(self, source: packet.Address, item: wire.IndirectPingRequest) -> None:
         """Ping a VM for another one that got no Ack from it."""
         suspect = self.others.get(item.suspect)
         if suspect is None:
@@ -346,7 +346,7 @@
         serving = [item.name for item in self.others.values() if item.serves]
         names = [name for name in serving if name != suspect]
         for name in self._rng.sample(names, min(VIA_COUNT, len(names))):
-            self._peers.send(name, wire.PingVia(number, suspect))
+            self._peers.send(name, wire.IndirectPingRequest(number, suspect))
 
     def _suspect(self, now_ms: int, name: str) -> None:
         known = self.others.get(name)
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -178,11 +178,11 @@
             case wire.Relay():
                 if not self._outdated(now_ms):
                     self.switch.relay(now_ms, item)
-            case wire.Ask():
+            case wire.FlowTargetRequest():
                 self.switch.ask(now_ms, sender, item)
-            case wire.Tell():
+            case wire.FlowTargetResponse():
                 self.switch.tell(now_ms, sender, item)
-            case wire.PingVia():
+            case wire.IndirectPingRequest():
                 self.membership.ping_via(source, item)
             case _:
                 raise errors.MessageInvalidError("message belongs on a link")
@@ -195,7 +195,7 @@
         self, now_ms: int, source: packet.Address, item: wire.PeerMessage
     ) -> None:
         # Operators' commands speak from machines that are no VM of the fleet.
-        if isinstance(item, wire.ExplainFlow | wire.ExplainTarget):
+        if isinstance(item, wire.ExplainFlowRequest | wire.ExplainTargetRequest):
             self.peers.send_to(source, self._explainer.answer(now_ms, item))
         else:
             self.outbox.count(message.Counter.PACKETS_UNKNOWN_SENDER)
@@ -208,10 +208,10 @@
 
     def _link_message(self, now_ms: int, sender: str, item: wire.PeerMessage) -> None:
         match item:
-            case wire.Keep():
+            case wire.BackupExceptions():
                 if not self._outdated(now_ms):
                     self._keep(now_ms, item)
-            case wire.Forget():
+            case wire.DiscardExceptions():
                 for packed in item.flows:
                     self.tables.replicator.kept.forget(wire.flow_key(packed))
             case wire.Handover():
@@ -219,9 +219,9 @@
                     self._handover(now_ms, item)
             case wire.LoadReport():
                 self.tables.loads.take(now_ms, sender, item)
-            case wire.ConfigOffer():
+            case wire.ConfigResponse():
                 self.keeper.offer(now_ms, item.value, sender)
-            case wire.ConfigWant():
+            case wire.ConfigRequest():
                 self.keeper.want(sender, item)
             case _:
                 raise errors.MessageInvalidError("message does not belong on a link")
@@ -237,7 +237,7 @@
             )
         )
 
-    def _keep(self, now_ms: int, item: wire.Keep) -> None:
+    def _keep(self, now_ms: int, item: wire.BackupExceptions) -> None:
         for entry in item.entries:
             known = self._target(entry.target)
             if known is not None:
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -56,8 +56,8 @@
         self._fleet = fleet
 
     def answer(
-        self, now_ms: int, asked: wire.ExplainFlow | wire.ExplainTarget
-    ) -> wire.Explained:
+        self, now_ms: int, asked: wire.ExplainFlowRequest | wire.ExplainTargetRequest
+    ) -> wire.ExplainResponse:
         """Answer an operator's question.
 
         Args:
@@ -75,11 +75,11 @@
             "state": self._fleet.me.state.name.lower(),
             "sequence": str(self._keeper.sequence),
         }
-        if isinstance(asked, wire.ExplainFlow):
+        if isinstance(asked, wire.ExplainFlowRequest):
             facts.update(self._flow(now_ms, wire.flow_key(asked.flow)))
         else:
             facts.update(self._target(now_ms, asked.target))
-        return wire.Explained(tuple(wire.Fact(*item) for item in facts.items()))
+        return wire.ExplainResponse(tuple(wire.Fact(*item) for item in facts.items()))
 
     def _flow(self, now_ms: int, key: packet.FlowKey) -> dict[str, str]:
         facts = {"flow": str(key)}
--- a/eelgrasswick/homes/inquiry.py
+++ b/eelgrasswick/homes/inquiry.py
@@ -116,7 +116,7 @@
             return
         self._open[key] = _Open(now_ms + ANSWER_MS, set(names), item)
         for name in names:
-            self._peers.send(name, wire.Ask(key.packed))
+            self._peers.send(name, wire.FlowTargetRequest(key.packed))
 
     def tell(self, sender: str, key: packet.FlowKey, name: str) -> Settled | None:
         """Take one VM's answer; return the end when it settles the inquiry."""
--- a/eelgrasswick/homes/replica.py
+++ b/eelgrasswick/homes/replica.py
@@ -71,11 +71,11 @@
         """
         budget = BATCHES_PER_TICK
         budget = self._flush_placed(self._handover, wire.Handover, budget)
-        budget = self._flush_placed(self._keep, wire.Keep, budget)
+        budget = self._flush_placed(self._keep, wire.BackupExceptions, budget)
         while budget and self._forget:
             receiver, flows = next(iter(self._forget.items()))
             batch = tuple(flows)[:BATCH]
-            self._peers.send_link(receiver, wire.Forget(batch))
+            self._peers.send_link(receiver, wire.DiscardExceptions(batch))
             flows.difference_update(batch)
             if not flows:
                 del self._forget[receiver]
@@ -84,12 +84,14 @@
     def _flush_placed(
         self,
         waiting: dict[str, dict[bytes, str]],
-        kind: type[wire.Keep] | type[wire.Handover],
+        kind: type[wire.BackupExceptions] | type[wire.Handover],
         budget: int,
     ) -> int:
         while budget and waiting:
             receiver, flows = next(iter(waiting.items()))
-            batch = tuple(wire.Placed(*item) for item in list(flows.items())[:BATCH])
+            batch = tuple(
+                wire.FlowPlacement(*item) for item in list(flows.items())[:BATCH]
+            )
             self._peers.send_link(receiver, kind(batch))
             for entry in batch:
                 del flows[entry.flow]
--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -73,7 +73,7 @@
             return
         self._answer_control(now_ms, item, sender, event.hops)
 
-    def ask(self, now_ms: int, sender: str, event: wire.Ask) -> None:
+    def ask(self, now_ms: int, sender: str, event: wire.FlowTargetRequest) -> None:
         """Answer the present home of a flow that this VM may know."""
         key = wire.flow_key(event.flow)
         self._home.cancel(key)
@@ -81,9 +81,9 @@
         if known is None and not self._home.delegate_to(now_ms, key, sender):
             return
         name = known.name if known is not None else ""
-        self._tables.peers.send(sender, wire.Tell(event.flow, name))
+        self._tables.peers.send(sender, wire.FlowTargetResponse(event.flow, name))
 
-    def tell(self, now_ms: int, sender: str, event: wire.Tell) -> None:
+    def tell(self, now_ms: int, sender: str, event: wire.FlowTargetResponse) -> None:
         """Take a former home's answer."""
         key = wire.flow_key(event.flow)
         self._home.tell(now_ms, sender, key, event.target)
--- a/eelgrasswick/node.py
+++ b/eelgrasswick/node.py
@@ -104,8 +104,8 @@
     def peer(self, now_ms: int, sender: str, payload: bytes) -> list[message.Action]:
         """Take an inquiry about a flow, or the answer to one."""
         item = wire.decode(payload)
-        if isinstance(item, wire.Ask):
+        if isinstance(item, wire.FlowTargetRequest):
             self._switch.ask(now_ms, sender, item)
-        elif isinstance(item, wire.Tell):
+        elif isinstance(item, wire.FlowTargetResponse):
             self._switch.tell(now_ms, sender, item)
         return self.outbox.take()
--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -149,7 +149,7 @@
         for item in (
             wire.Ping(0, fleet.vms[0].me, 0, ()),
             wire.Ack(0, fleet.vms[0].me, 0, ()),
-            wire.PingVia(0, ""),
+            wire.IndirectPingRequest(0, ""),
         )
     ]
     return sum(vm.sizes[code] for vm in fleet.vms for code in codes)
--- a/eelgrasswick/trials/trial_placement.py
+++ b/eelgrasswick/trials/trial_placement.py
@@ -377,8 +377,10 @@
     return len(wire.encode(kind((entry,) * replica.BATCH))) / replica.BATCH
 
 
-KEEP_BYTES: typing.Final = _per_entry(wire.Keep, wire.Placed(bytes(13), "target-17"))
-FORGET_BYTES: typing.Final = _per_entry(wire.Forget, bytes(13))
+KEEP_BYTES: typing.Final = _per_entry(
+    wire.BackupExceptions, wire.FlowPlacement(bytes(13), "target-17")
+)
+FORGET_BYTES: typing.Final = _per_entry(wire.DiscardExceptions, bytes(13))
 
 
 def _target_load(item: target.Target, flows: float) -> placement.TargetLoad:
--- a/eelgrasswick/trials/trial_spread.py
+++ b/eelgrasswick/trials/trial_spread.py
@@ -27,7 +27,7 @@
         median_ms: Time until all VMs had a change, median over the changes.
         worst_ms: The longest of these times.
         announces: Extra pings a VM sent per change.
-        pulls: ConfigWant messages a VM sent per change.
+        pulls: ConfigRequest messages a VM sent per change.
         offers: Documents a VM sent per change.
         store_calls: Calls to the store in the whole fleet, per second.
         watches: Watches that wait at the store.
@@ -104,8 +104,8 @@
 
 
 def _sent(fleet: virtual_fleet.VirtualFleet) -> _Sent:
-    pull = virtual_fleet.code_of(wire.ConfigWant(0))
-    offer = virtual_fleet.code_of(wire.ConfigOffer(b""))
+    pull = virtual_fleet.code_of(wire.ConfigRequest(0))
+    offer = virtual_fleet.code_of(wire.ConfigResponse(b""))
     return _Sent(
         sum(vm.announced for vm in fleet.vms),
         sum(vm.kinds[pull] for vm in fleet.vms),
--- a/eelgrasswick/wire.py
+++ b/eelgrasswick/wire.py
@@ -46,13 +46,13 @@
     packet: bytes
 
 
-class Ask(typing.NamedTuple):
+class FlowTargetRequest(typing.NamedTuple):
     """The present home asks a former one whether it knows a flow."""
 
     flow: bytes
 
 
-class Tell(typing.NamedTuple):
+class FlowTargetResponse(typing.NamedTuple):
     """The answer to Ask; the target is empty when the flow is not known."""
 
     flow: bytes
@@ -84,7 +84,7 @@
     updates: tuple[member.Member, ...]
 
 
-class PingVia(typing.NamedTuple):
+class IndirectPingRequest(typing.NamedTuple):
     """Asks the receiver to ping a VM that did not answer the sender.
 
     Attributes:
@@ -96,20 +96,20 @@
     suspect: str
 
 
-class Placed(typing.NamedTuple):
+class FlowPlacement(typing.NamedTuple):
     """One flow that is not on its default target."""
 
     flow: bytes
     target: str
 
 
-class Keep(typing.NamedTuple):
+class BackupExceptions(typing.NamedTuple):
     """A home asks its backup to keep exceptions."""
 
-    entries: tuple[Placed, ...]
+    entries: tuple[FlowPlacement, ...]
 
 
-class Forget(typing.NamedTuple):
+class DiscardExceptions(typing.NamedTuple):
     """A home tells its backup that flows have ended."""
 
     flows: tuple[bytes, ...]
@@ -118,7 +118,7 @@
 class Handover(typing.NamedTuple):
     """Exceptions for the VM that has become the home of their flows."""
 
-    entries: tuple[Placed, ...]
+    entries: tuple[FlowPlacement, ...]
 
 
 class OpenFlows(typing.NamedTuple):
@@ -143,13 +143,13 @@
     entries: tuple[OpenFlows, ...]
 
 
-class ConfigOffer(typing.NamedTuple):
+class ConfigResponse(typing.NamedTuple):
     """A configuration document, pushed or sent for a ConfigWant."""
 
     value: bytes
 
 
-class ConfigWant(typing.NamedTuple):
+class ConfigRequest(typing.NamedTuple):
     """Asks for the document when the receiver has a newer one.
 
     Attributes:
@@ -159,13 +159,13 @@
     sequence: int
 
 
-class ExplainFlow(typing.NamedTuple):
+class ExplainFlowRequest(typing.NamedTuple):
     """An operator asks what a VM knows of a flow."""
 
     flow: bytes
 
 
-class ExplainTarget(typing.NamedTuple):
+class ExplainTargetRequest(typing.NamedTuple):
     """An operator asks what a VM knows of a target."""
 
     target: str
@@ -178,7 +178,7 @@
     value: str
 
 
-class Explained(typing.NamedTuple):
+class ExplainResponse(typing.NamedTuple):
     """The answer to an operator's question."""
 
     facts: tuple[Fact, ...]
@@ -187,39 +187,39 @@
 PeerMessage = (
     Forward
     | Relay
-    | Ask
-    | Tell
+    | FlowTargetRequest
+    | FlowTargetResponse
     | Ping
     | Ack
-    | PingVia
-    | Keep
-    | Forget
+    | IndirectPingRequest
+    | BackupExceptions
+    | DiscardExceptions
     | Handover
     | LoadReport
-    | ConfigOffer
-    | ConfigWant
-    | ExplainFlow
-    | ExplainTarget
-    | Explained
+    | ConfigResponse
+    | ConfigRequest
+    | ExplainFlowRequest
+    | ExplainTargetRequest
+    | ExplainResponse
 )
 
 _TYPES: typing.Final[dict[int, type[PeerMessage]]] = {
     1: Forward,
     2: Relay,
-    3: Ask,
-    4: Tell,
+    3: FlowTargetRequest,
+    4: FlowTargetResponse,
     5: Ping,
     6: Ack,
-    7: PingVia,
-    8: Keep,
-    9: Forget,
+    7: IndirectPingRequest,
+    8: BackupExceptions,
+    9: DiscardExceptions,
     10: Handover,
     11: LoadReport,
-    12: ConfigOffer,
-    13: ConfigWant,
-    14: ExplainFlow,
-    15: ExplainTarget,
-    16: Explained,
+    12: ConfigResponse,
+    13: ConfigRequest,
+    14: ExplainFlowRequest,
+    15: ExplainTargetRequest,
+    16: ExplainResponse,
 }
 _CODES: typing.Final[dict[type[PeerMessage], int]] = {
     kind: code for code, kind in _TYPES.items()
--- a/tests/control_steps.py
+++ b/tests/control_steps.py
@@ -186,7 +186,7 @@
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{name} offers the first rules again"))
 def offer_old(control: Control, name: str) -> None:
-    payload = wire.encode(wire.ConfigOffer(control.old_value))
+    payload = wire.encode(wire.ConfigResponse(control.old_value))
     for vm in fleet_view.running(control.world):
         control.world.feed(vm, message.LinkReceived(name, payload))
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -15,7 +15,9 @@
 
 
 def asked(
-    made: world.World, name: str, question: wire.ExplainFlow | wire.ExplainTarget
+    made: world.World,
+    name: str,
+    question: wire.ExplainFlowRequest | wire.ExplainTargetRequest,
 ) -> dict[str, str]:
     """Return the facts that one VM gives."""
     answer = made.vms[name].engine._explainer.answer(made.now_ms, question)
@@ -35,7 +37,7 @@
 
 def test_home_knows_the_target_of_a_flow(small_world: world.World) -> None:
     key = open_flow(small_world)
-    question = wire.ExplainFlow(key.packed)
+    question = wire.ExplainFlowRequest(key.packed)
     anywhere = asked(small_world, "vm1", question)
     home = asked(small_world, anywhere["home"], question)
     assert home["flow"] == str(key)
@@ -48,12 +50,12 @@
 
 def test_drained_target_says_so(small_world: world.World, rules_text: str) -> None:
     key = open_flow(small_world)
-    question = wire.ExplainFlow(key.packed)
+    question = wire.ExplainFlowRequest(key.packed)
     first = asked(small_world, "vm1", question)
     target = asked(small_world, first["home"], question)["record"]
     small_world.apply(rules_text + f"drain {target}  # asked by Wanjiru\n")
     small_world.run(2500)
-    facts = asked(small_world, "vm2", wire.ExplainTarget(target))
+    facts = asked(small_world, "vm2", wire.ExplainTargetRequest(target))
     assert facts["draining"] == "yes"
     assert int(facts["open_here"]) + int(facts["open_elsewhere"]) == 1
     assert "a drain rule; 1 open flows stay" in facts["reason"]
@@ -69,7 +71,7 @@
 def test_flow_that_is_not_there_says_so(
     small_world: world.World, text: str, reason: str
 ) -> None:
-    question = wire.ExplainFlow(explain.read_flow(text).packed)
+    question = wire.ExplainFlowRequest(explain.read_flow(text).packed)
     facts = asked(small_world, "vm1", question)
     if "home" in facts:
         facts = asked(small_world, facts["home"], question)
@@ -77,7 +79,7 @@
 
 
 def test_target_without_a_rule_says_so(small_world: world.World) -> None:
-    facts = asked(small_world, "vm1", wire.ExplainTarget("nobody"))
+    facts = asked(small_world, "vm1", wire.ExplainTargetRequest("nobody"))
     assert facts["reason"] == "no rule names this target"
 
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -126,8 +126,8 @@
 
 
 def test_document_is_sent_only_to_who_lacks_it(kept: Kept) -> None:
-    kept.keeper.want("vm2", wire.ConfigWant(5))
-    kept.keeper.want("vm3", wire.ConfigWant(4))
+    kept.keeper.want("vm2", wire.ConfigRequest(5))
+    kept.keeper.want("vm3", wire.ConfigRequest(4))
     assert [item.receiver for item in kept.taken(message.SendLink)] == ["vm3"]
 
 
--- a/tests/test_opener.py
+++ b/tests/test_opener.py
@@ -81,7 +81,7 @@
     # although its caller was told otherwise.
     vm, key = waiting_flow(slow_world)
     other = next(name for name in slow_world.vms if name != vm.me.name)
-    vm.engine.switch.ask(slow_world.now_ms, other, wire.Ask(key.packed))
+    vm.engine.switch.ask(slow_world.now_ms, other, wire.FlowTargetRequest(key.packed))
     vm.engine.outbox.take()
     vm.engine.opener.tick(slow_world.now_ms + 1000)
     logs = [
