--- a/eelgrasswick/fleet/keeper.py
+++ b/eelgrasswick/fleet/keeper.py
@@ -20,16 +20,16 @@
 )
 from eelgrasswick.homes import rendezvous
 
-WATCHERS: typing.Final = 2
-WANT_MS: typing.Final = 250
-REPORT_MS: typing.Final = 5000
-REPORT_SOON_MS: typing.Final = 300
-LONELY_MS: typing.Final = 1500
+WATCHERS_PER_ZONE: typing.Final = 2
+REQUEST_INTERVAL_MS: typing.Final = 250
+REPORT_INTERVAL_MS: typing.Final = 5000
+REPORT_AFTER_CHANGE_MS: typing.Final = 300
+PEER_DISCOVERY_MS: typing.Final = 1500
 _COUNT: typing.Final = message.Counter
 _STAYING: typing.Final = member.SERVING | {member.MemberState.JOINING}
 
 
-class Keeper:
+class ConfigSync:
     """The configuration in force at one VM; its sequence never goes back."""
 
     def __init__(self, name: str, peers: peer.Peers, outbox: message.Outbox) -> None:
@@ -87,7 +87,7 @@
             # A VM that starts does not know yet who reports for its zone. Did
             # each report with its first configuration, the start of a fleet
             # would bring two calls from every VM.
-            self._report_ms = min(self._report_ms, now_ms + REPORT_SOON_MS)
+            self._report_ms = min(self._report_ms, now_ms + REPORT_AFTER_CHANGE_MS)
         self.current = candidate
         self.changed = True
         self._value = value
@@ -145,13 +145,13 @@
         raised = mine._replace(sequence=mine.sequence + 1)
         self._outbox.put(message.RepairStore(config.encode(raised), raised.sequence))
 
-    def heard(self, now_ms: int, name: str, sequence: int) -> None:
+    def request_if_newer(self, now_ms: int, name: str, sequence: int) -> None:
         """Ask a VM for its configuration when it is newer."""
         if sequence > self.sequence and now_ms >= self._want_ms:
-            self._want_ms = now_ms + WANT_MS
+            self._want_ms = now_ms + REQUEST_INTERVAL_MS
             self._peers.send_link(name, wire.ConfigRequest(self.sequence))
 
-    def want(self, sender: str, item: wire.ConfigRequest) -> None:
+    def send_if_newer(self, sender: str, item: wire.ConfigRequest) -> None:
         """Send the document to a VM that has an older one."""
         if self.sequence > item.sequence:
             self._peers.send_link(sender, wire.ConfigResponse(self._value))
@@ -166,19 +166,19 @@
         """Take up or lay down the watch, and report what is in force."""
         if self._begun_ms is None:
             self._begun_ms = now_ms
-            self._report_ms = now_ms + REPORT_MS
+            self._report_ms = now_ms + REPORT_INTERVAL_MS
         zone = [item for item in members if item.zone == me.zone]
         order = _watch_order(zone)
         # When all VMs start at once each knows itself only. Did each watch at
         # once, the platform would get a call from every VM of the fleet.
         others_serve = any(item.serves and item.name != me.name for item in zone)
-        known = others_serve or now_ms - self._begun_ms >= LONELY_MS
-        active = known and me.name in order[:WATCHERS]
+        known = others_serve or now_ms - self._begun_ms >= PEER_DISCOVERY_MS
+        active = known and me.name in order[:WATCHERS_PER_ZONE]
         if active != self.watching:
             self.watching = active
             self._outbox.put(message.WatchStore(active))
         if order[:1] == [me.name] and now_ms >= self._report_ms:
-            self._report_ms = now_ms + REPORT_MS
+            self._report_ms = now_ms + REPORT_INTERVAL_MS
             self._report(me, members, sequences)
 
     def _report(
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -74,7 +74,7 @@
         self.outbox = message.Outbox()
         self.peers = peer.Peers(self.outbox)
         self.membership = membership.Membership(me, seeds, self.peers, self.outbox, rng)
-        self.keeper = keeper.Keeper(me.name, self.peers, self.outbox)
+        self.keeper = keeper.ConfigSync(me.name, self.peers, self.outbox)
         self.tables = tables.Tables(
             epoch.EpochLog(EPOCH_WINDOW_MS),
             flow.FlowTable(),
@@ -188,7 +188,7 @@
                 raise errors.MessageInvalidError("message belongs on a link")
 
     def _heard(self, now_ms: int, item: wire.Ping | wire.Ack) -> None:
-        self.keeper.heard(now_ms, item.sender.name, item.sequence)
+        self.keeper.request_if_newer(now_ms, item.sender.name, item.sequence)
         self.tables.epochs.heard(item.sequence)
 
     def _stranger(
@@ -222,7 +222,7 @@
             case wire.ConfigResponse():
                 self.keeper.offer(now_ms, item.value, sender)
             case wire.ConfigRequest():
-                self.keeper.want(sender, item)
+                self.keeper.send_if_newer(sender, item)
             case _:
                 raise errors.MessageInvalidError("message does not belong on a link")
 
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -48,7 +48,10 @@
     """Collects what one VM knows of a flow or a target."""
 
     def __init__(
-        self, shared: tables.Tables, kept: keeper.Keeper, fleet: membership.Membership
+        self,
+        shared: tables.Tables,
+        kept: keeper.ConfigSync,
+        fleet: membership.Membership,
     ) -> None:
         """Read from the parts of an engine; nothing is changed."""
         self._tables = shared
--- a/eelgrasswick/trials/capacity_table.py
+++ b/eelgrasswick/trials/capacity_table.py
@@ -316,7 +316,7 @@
 
 def _platform_costs(slopes: Slopes) -> list[Cost]:
     def reports(size: Size) -> float:
-        regular = size.zones * 1000 / keeper.REPORT_MS
+        regular = size.zones * 1000 / keeper.REPORT_INTERVAL_MS
         changed = size.zones * size.changes_per_day / DAY_S
         return (regular + changed) * CALLS_PER_REPORT
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -29,7 +29,7 @@
         self.me = self.vm("me", 1)
         self.others = [self.vm(f"vm{n}", n) for n in range(2, 9)]
         self.peers.learn([self.me, *self.others])
-        self.keeper = keeper.Keeper("me", self.peers, self.outbox)
+        self.keeper = keeper.ConfigSync("me", self.peers, self.outbox)
         self.keeper.offer(NOW_MS, self.value(5), "store")
         self.outbox.take()
 
@@ -118,16 +118,16 @@
 def test_another_vm_is_asked_when_the_first_does_not_send(kept: Kept) -> None:
     # The VM that announced the change dies before it sends it, or the link to
     # it is lost. Who hears of the change from another must ask that one.
-    kept.keeper.heard(NOW_MS, "vm2", 6)
-    kept.keeper.heard(NOW_MS + 100, "vm3", 6)
-    kept.keeper.heard(NOW_MS + 300, "vm4", 6)
+    kept.keeper.request_if_newer(NOW_MS, "vm2", 6)
+    kept.keeper.request_if_newer(NOW_MS + 100, "vm3", 6)
+    kept.keeper.request_if_newer(NOW_MS + 300, "vm4", 6)
     asked = [item.receiver for item in kept.taken(message.SendLink)]
     assert asked == ["vm2", "vm4"]
 
 
 def test_document_is_sent_only_to_who_lacks_it(kept: Kept) -> None:
-    kept.keeper.want("vm2", wire.ConfigRequest(5))
-    kept.keeper.want("vm3", wire.ConfigRequest(4))
+    kept.keeper.send_if_newer("vm2", wire.ConfigRequest(5))
+    kept.keeper.send_if_newer("vm3", wire.ConfigRequest(4))
     assert [item.receiver for item in kept.taken(message.SendLink)] == ["vm3"]
 
 
@@ -139,7 +139,7 @@
     ]
     count = 0
     for me in fleet:
-        own = keeper.Keeper(me.name, kept.peers, kept.outbox)
+        own = keeper.ConfigSync(me.name, kept.peers, kept.outbox)
         own.tick(NOW_MS, me, [me], {})
         own.tick(NOW_MS + since_ms, me, fleet, {})
         count += own.watching
@@ -150,25 +150,25 @@
 def test_two_vms_of_a_zone_watch(kept: Kept, state: member.MemberState) -> None:
     # All VMs start at once after a loss of power. Did each one watch until one
     # serves, the platform would get as many calls as there are VMs.
-    assert watchers(kept, state, keeper.LONELY_MS) == keeper.WATCHERS
+    assert watchers(kept, state, keeper.PEER_DISCOVERY_MS) == keeper.WATCHERS_PER_ZONE
 
 
 def test_starting_vm_waits_to_hear_of_others_before_it_watches(kept: Kept) -> None:
-    own = keeper.Keeper("me", kept.peers, kept.outbox)
+    own = keeper.ConfigSync("me", kept.peers, kept.outbox)
     joining = kept.me._replace(state=member.MemberState.JOINING)
     own.tick(NOW_MS, joining, [joining], {})
     assert not own.watching
-    own.tick(NOW_MS + keeper.LONELY_MS, joining, [joining], {})
+    own.tick(NOW_MS + keeper.PEER_DISCOVERY_MS, joining, [joining], {})
     assert own.watching
 
 
 def test_starting_vm_does_not_report_at_once(kept: Kept) -> None:
     # All VMs start at once, and each takes itself for the first of its zone.
-    own = keeper.Keeper("me", kept.peers, kept.outbox)
+    own = keeper.ConfigSync("me", kept.peers, kept.outbox)
     own.tick(NOW_MS, kept.me, [kept.me], {})
     own.offer(NOW_MS, kept.value(5), "store")
     own.tick(NOW_MS + 1000, kept.me, [kept.me], {})
     assert kept.taken(message.ReportInForce) == []
     own.offer(NOW_MS + 1000, kept.value(6), "store")
-    own.tick(NOW_MS + 1000 + keeper.REPORT_SOON_MS, kept.me, [kept.me], {})
+    own.tick(NOW_MS + 1000 + keeper.REPORT_AFTER_CHANGE_MS, kept.me, [kept.me], {})
     assert len(kept.taken(message.ReportInForce)) == 1
