--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -24,13 +24,13 @@
     unheard,
 )
 
-PERIOD_MS: typing.Final = 200
-SUSPECT_MS: typing.Final = 900
-PAUSE_MS: typing.Final = 1000
-RETRY_GONE_MS: typing.Final = 1000
-VIA_COUNT: typing.Final = 2
-LEAVE_MS: typing.Final = 4000
-UNHEARD_COUNT: typing.Final = 3
+PROBE_PERIOD_MS: typing.Final = 200
+SUSPICION_TIMEOUT_MS: typing.Final = 900
+PAUSE_THRESHOLD_MS: typing.Final = 1000
+RECONNECT_PERIOD_MS: typing.Final = 1000
+INDIRECT_PROBE_COUNT: typing.Final = 2
+LEAVING_DURATION_MS: typing.Final = 4000
+RECONNECT_COUNT: typing.Final = 3
 
 
 _DOUBTED: typing.Final = member.GONE | {member.MemberState.SUSPECT}
@@ -86,7 +86,7 @@
         """True when this VM has left and may stop."""
         return self.me.state is member.MemberState.LEFT
 
-    def listed(self, members: typing.Iterable[member.Member]) -> None:
+    def update_listing(self, members: typing.Iterable[member.Member]) -> None:
         """Take the platform's list.
 
         It lags both ways, so it only names VMs that are worth a ping; what a
@@ -111,15 +111,17 @@
         self._check_suspects(now_ms)
         self._check_own_state(now_ms, ready)
         if now_ms >= self._next_ms:
-            self._next_ms = now_ms + PERIOD_MS
+            self._next_ms = now_ms + PROBE_PERIOD_MS
             self._ping_next(now_ms)
         if now_ms >= self._retry_ms:
-            self._retry_ms = now_ms + RETRY_GONE_MS
+            self._retry_ms = now_ms + RECONNECT_PERIOD_MS
             self._ping_unheard()
             for name in self._unheard.outdated(now_ms):
                 self._forget(name)
 
-    def ping(self, now_ms: int, source: packet.Address, item: wire.Ping) -> None:
+    def receive_ping(
+        self, now_ms: int, source: packet.Address, item: wire.Ping
+    ) -> None:
         """Answer a heartbeat."""
         self._hear(now_ms, item.sender, item.sequence, item.updates)
         known = self.others.get(item.sender.name)
@@ -129,7 +131,7 @@
             source, wire.Ack(item.number, self.me, self.sequence, updates)
         )
 
-    def ack(self, now_ms: int, item: wire.Ack) -> None:
+    def receive_ack(self, now_ms: int, item: wire.Ack) -> None:
         """Take the answer to a heartbeat."""
         relayed = self._probes.answered(item.number, item.sender.name)
         if relayed is not None:
@@ -138,7 +140,9 @@
         self._hear(now_ms, item.sender, item.sequence, item.updates)
         self._clear_suspicion(now_ms, item.sender)
 
-    def ping_via(self, source: packet.Address, item: wire.IndirectPingRequest) -> None:
+    def receive_indirect_ping(
+        self, source: packet.Address, item: wire.IndirectPingRequest
+    ) -> None:
         """Ping a VM for another one that got no Ack from it."""
         suspect = self.others.get(item.suspect)
         if suspect is None:
@@ -210,7 +214,7 @@
             self._unheard.back(news.name)
             self._holders[peer.address_of(news)] = news.name
         if news.state is member.MemberState.SUSPECT:
-            self._suspects.setdefault(news.name, now_ms + SUSPECT_MS)
+            self._suspects.setdefault(news.name, now_ms + SUSPICION_TIMEOUT_MS)
         else:
             self._suspects.pop(news.name, None)
         if known is None or known.state != news.state:
@@ -270,7 +274,7 @@
         """
         last = self._last_ms
         self._last_ms = now_ms
-        if last is None or now_ms - last < PAUSE_MS:
+        if last is None or now_ms - last < PAUSE_THRESHOLD_MS:
             return 0
         # The process did not run for a while and does not know what the others
         # agreed meanwhile. It notices by the gap between two events, stops to
@@ -278,7 +282,7 @@
         # waited in its socket meanwhile do not count.
         self._outbox.put(message.log("vm_paused", pause_ms=now_ms - last))
         self._probes.clear()
-        self._suspects = dict.fromkeys(self._suspects, now_ms + SUSPECT_MS)
+        self._suspects = dict.fromkeys(self._suspects, now_ms + SUSPICION_TIMEOUT_MS)
         if self.me.serves:
             self._contact.restart(self._probes.last_number)
             self._become(member.MemberState.JOINING)
@@ -291,7 +295,7 @@
             self._become(member.MemberState.ALIVE)
         if state is member.MemberState.LEAVING:
             assert self._leaving_ms is not None
-            if now_ms - self._leaving_ms >= LEAVE_MS:
+            if now_ms - self._leaving_ms >= LEAVING_DURATION_MS:
                 self._become(member.MemberState.LEFT)
                 self._tell_all()
 
@@ -323,7 +327,7 @@
         known = {peer.address_of(item) for item in here if not item.gone}
         found = self._unheard.addresses(self.others)
         strange = sorted(found.keys() - known)
-        for address in self._rng.sample(strange, min(UNHEARD_COUNT, len(strange))):
+        for address in self._rng.sample(strange, min(RECONNECT_COUNT, len(strange))):
             self._send_ping(self._probes.take_number(), address, found[address])
 
     def _forget(self, name: str) -> None:
@@ -345,7 +349,7 @@
     def _ask_others(self, number: int, suspect: str) -> None:
         serving = [item.name for item in self.others.values() if item.serves]
         names = [name for name in serving if name != suspect]
-        for name in self._rng.sample(names, min(VIA_COUNT, len(names))):
+        for name in self._rng.sample(names, min(INDIRECT_PROBE_COUNT, len(names))):
             self._peers.send(name, wire.IndirectPingRequest(number, suspect))
 
     def _suspect(self, now_ms: int, name: str) -> None:
@@ -355,7 +359,7 @@
         if known.state is member.MemberState.ALIVE:
             self._set(now_ms, known._replace(state=member.MemberState.SUSPECT))
         else:
-            self._suspects.setdefault(name, now_ms + SUSPECT_MS)
+            self._suspects.setdefault(name, now_ms + SUSPICION_TIMEOUT_MS)
 
     def _check_suspects(self, now_ms: int) -> None:
         for name, due_ms in list(self._suspects.items()):
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -118,7 +118,7 @@
             case message.StoreRead():
                 self.keeper.store_read(now_ms, event.value)
             case message.VmsListed():
-                self.membership.listed(event.members)
+                self.membership.update_listing(event.members)
             case message.StoreFailed():
                 self.outbox.put(message.log("store_failed", detail=event.detail))
             case message.Tick():
@@ -160,12 +160,12 @@
         self, now_ms: int, source: packet.Address, item: wire.PeerMessage
     ) -> None:
         if isinstance(item, wire.Ping):
-            self.membership.ping(now_ms, source, item)
+            self.membership.receive_ping(now_ms, source, item)
             self._heard(now_ms, item)
             return
         sender = self.peers.name_at(source)
         if isinstance(item, wire.Ack):
-            self.membership.ack(now_ms, item)
+            self.membership.receive_ack(now_ms, item)
             self._heard(now_ms, item)
             return
         if sender is None:
@@ -183,7 +183,7 @@
             case wire.FlowTargetResponse():
                 self.switch.tell(now_ms, sender, item)
             case wire.IndirectPingRequest():
-                self.membership.ping_via(source, item)
+                self.membership.receive_indirect_ping(source, item)
             case _:
                 raise errors.MessageInvalidError("message belongs on a link")
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -52,12 +52,12 @@
         """Let a VM ping this one; return the Ack."""
         self.outbox.take()
         item = wire.Ping(1, sender, 1, updates)
-        self.view.ping(self.now_ms, peer.address_of(sender), item)
+        self.view.receive_ping(self.now_ms, peer.address_of(sender), item)
         return typing.cast(wire.Ack, self.sent()[-1][1])
 
     def ack(self, number: int, sender: member.Member, sequence: int = 1) -> None:
         """Let a VM answer a ping of this one."""
-        self.view.ack(self.now_ms, wire.Ack(number, sender, sequence, ()))
+        self.view.receive_ack(self.now_ms, wire.Ack(number, sender, sequence, ()))
 
     def run(self, ms: int, ready: bool = True) -> list[wire.Ping]:
         """Let time pass with a tick each 50 ms; return the pings sent."""
@@ -235,7 +235,7 @@
 def test_one_lost_probe_does_not_end_a_leaving_vm() -> None:
     leaving = vm("a", 1, member.MemberState.LEAVING)
     alone = Alone(leaving)
-    alone.run(membership.SUSPECT_MS - 100)
+    alone.run(membership.SUSPICION_TIMEOUT_MS - 100)
     assert alone.state("a") is member.MemberState.LEAVING
     for item in alone.run(200):
         alone.ack(item.number, leaving)
