--- a/eelgrasswick/fleet/contact.py
+++ b/eelgrasswick/fleet/contact.py
@@ -2,10 +2,10 @@
 
 import typing
 
-ALONE_MS: typing.Final = 1500
+ISOLATED_JOIN_DELAY_MS: typing.Final = 1500
 
 
-class Contact:
+class JoinCondition:
     """Whether another VM has answered since this one began to join.
 
     A VM in contact joins once its configuration is as new as that of the VMs
@@ -31,7 +31,7 @@
         self._answered = False
         self._after = last_number
 
-    def answered(self, number: int) -> None:
+    def record_ack(self, number: int) -> None:
         """Take the number of an Ack."""
         if number > self._after:
             self._answered = True
@@ -47,4 +47,4 @@
             self._begun_ms = now_ms
         if self._answered:
             return caught_up
-        return now_ms - self._begun_ms >= ALONE_MS
+        return now_ms - self._begun_ms >= ISOLATED_JOIN_DELAY_MS
--- a/eelgrasswick/fleet/gossip.py
+++ b/eelgrasswick/fleet/gossip.py
@@ -4,7 +4,7 @@
 import typing
 
 MAX_UPDATES: typing.Final = 6
-SPREAD_FACTOR: typing.Final = 4
+RETRANSMIT_FACTOR: typing.Final = 4
 
 
 class Gossip:
@@ -27,7 +27,7 @@
         """Spread no more news about a VM."""
         self._sent.pop(name, None)
 
-    def take(self, fleet: int) -> list[str]:
+    def next_updates(self, fleet: int) -> list[str]:
         """Return the VMs to tell of in the next heartbeat, and count it.
 
         Args:
@@ -36,7 +36,7 @@
         Returns:
             Names, the news sent least often in front.
         """
-        limit = SPREAD_FACTOR * (fleet + 1).bit_length()
+        limit = RETRANSMIT_FACTOR * (fleet + 1).bit_length()
         fresh = sorted(self._sent.items(), key=lambda item: item[1])[:MAX_UPDATES]
         for name, sent in fresh:
             self._sent[name] = sent + 1
--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -61,11 +61,11 @@
         self.sequences: dict[str, int] = {}
         self.changed = True
         self.sequence = 0
-        self._unheard = unheard.UnheardVms(seeds)
+        self._unheard = unheard.ReconnectCandidates(seeds)
         self._peers = peers
         self._outbox = outbox
         self._rng = rng
-        self._turn = turn.Turn(rng)
+        self._turn = turn.ShuffledRoundRobin(rng)
         self._probes = probe.Probes()
         self._suspects: dict[str, int] = {}
         self._holders: dict[packet.Address, str] = {}
@@ -73,7 +73,7 @@
         self._next_ms = 0
         self._retry_ms = 0
         self._last_ms: int | None = None
-        self._contact = contact.Contact()
+        self._contact = contact.JoinCondition()
         self._leaving_ms: int | None = None
 
     @property
@@ -92,7 +92,7 @@
         It lags both ways, so it only names VMs that are worth a ping; what a
         VM is, its own heartbeats say.
         """
-        self._unheard.list(members)
+        self._unheard.update_listing(members)
 
     def leave(self, now_ms: int) -> None:
         """Begin to leave; the VM gives up its homes and stays for a while."""
@@ -116,7 +116,7 @@
         if now_ms >= self._retry_ms:
             self._retry_ms = now_ms + RECONNECT_PERIOD_MS
             self._ping_unheard()
-            for name in self._unheard.outdated(now_ms):
+            for name in self._unheard.expired(now_ms):
                 self._forget(name)
 
     def receive_ping(
@@ -133,10 +133,10 @@
 
     def receive_ack(self, now_ms: int, item: wire.Ack) -> None:
         """Take the answer to a heartbeat."""
-        relayed = self._probes.answered(item.number, item.sender.name)
+        relayed = self._probes.record_ack(item.number, item.sender.name)
         if relayed is not None:
-            self._peers.send_to(relayed.asker, item._replace(number=relayed.number))
-        self._contact.answered(item.number)
+            self._peers.send_to(relayed.requester, item._replace(number=relayed.number))
+        self._contact.record_ack(item.number)
         self._hear(now_ms, item.sender, item.sequence, item.updates)
         self._clear_suspicion(now_ms, item.sender)
 
@@ -209,9 +209,9 @@
         self.others[news.name] = news
         self._news.add(news.name)
         if news.gone:
-            self._unheard.gone(now_ms, news.name)
+            self._unheard.add_gone(now_ms, news.name)
         else:
-            self._unheard.back(news.name)
+            self._unheard.discard_gone(news.name)
             self._holders[peer.address_of(news)] = news.name
         if news.state is member.MemberState.SUSPECT:
             self._suspects.setdefault(news.name, now_ms + SUSPICION_TIMEOUT_MS)
@@ -320,7 +320,7 @@
         if name is None:
             return
         number = self._ping_known(self.others[name])
-        self._probes.begin(now_ms, number, name)
+        self._probes.expect_ack(now_ms, number, name)
 
     def _ping_unheard(self) -> None:
         here = [self.me, *self.others.values()]
@@ -334,7 +334,7 @@
         place = peer.address_of(self.others.pop(name))
         if self._holders.get(place) == name:
             del self._holders[place]
-        self._unheard.back(name)
+        self._unheard.discard_gone(name)
         self.sequences.pop(name, None)
         self._news.discard(name)
         self.changed = True
@@ -376,7 +376,7 @@
                 is cut off for longer would never hear that the others take it
                 for dead, never refute it, and stay apart after the cut heals.
         """
-        names = self._news.take(len(self.others) + 1)
+        names = self._news.next_updates(len(self.others) + 1)
         known = [self.me if n == self.me.name else self.others.get(n) for n in names]
         chosen = [item for item in known if item is not None]
         if told is not None and told not in chosen:
--- a/eelgrasswick/fleet/probe.py
+++ b/eelgrasswick/fleet/probe.py
@@ -4,8 +4,8 @@
 
 from eelgrasswick import packet
 
-ACK_MS: typing.Final = 100
-INDIRECT_MS: typing.Final = 200
+ACK_TIMEOUT_MS: typing.Final = 100
+INDIRECT_ACK_TIMEOUT_MS: typing.Final = 200
 MAX_RELAYED: typing.Final = 256
 
 
@@ -33,7 +33,7 @@
     """
 
     number: int
-    asker: packet.Address
+    requester: packet.Address
     name: str
 
 
@@ -60,9 +60,9 @@
         self.last_number += 1
         return self.last_number
 
-    def begin(self, now_ms: int, number: int, name: str) -> None:
+    def expect_ack(self, now_ms: int, number: int, name: str) -> None:
         """Wait for the Ack of a VM to a numbered heartbeat."""
-        self._waiting[number] = _Waiting(name, now_ms + ACK_MS)
+        self._waiting[number] = _Waiting(name, now_ms + ACK_TIMEOUT_MS)
 
     def relay(self, item: Relayed) -> int:
         """Return the number for a heartbeat that is sent for another VM."""
@@ -72,7 +72,7 @@
             self._relayed.pop(next(iter(self._relayed)))
         return number
 
-    def answered(self, number: int, name: str) -> Relayed | None:
+    def record_ack(self, number: int, name: str) -> Relayed | None:
         """Take an Ack.
 
         Args:
@@ -102,7 +102,7 @@
             if item.final:
                 del self._waiting[number]
             item.final = True
-            item.due_ms = now_ms + INDIRECT_MS
+            item.due_ms = now_ms + INDIRECT_ACK_TIMEOUT_MS
         return found
 
     def clear(self) -> None:
--- a/eelgrasswick/fleet/turn.py
+++ b/eelgrasswick/fleet/turn.py
@@ -4,7 +4,7 @@
 import typing
 
 
-class Turn:
+class ShuffledRoundRobin:
     """Goes through names that come and go.
 
     With a name drawn anew each time, some would wait for many rounds; a shuffled
--- a/eelgrasswick/fleet/unheard.py
+++ b/eelgrasswick/fleet/unheard.py
@@ -12,10 +12,10 @@
     peer,
 )
 
-FORGET_MS: typing.Final = 3_600_000
+GONE_RETENTION_MS: typing.Final = 3_600_000
 
 
-class UnheardVms:
+class ReconnectCandidates:
     """Seeds, VMs the platform lists, and VMs that are gone."""
 
     def __init__(self, seeds: typing.Iterable[packet.Address]) -> None:
@@ -24,15 +24,15 @@
         self._listed: tuple[member.Member, ...] = ()
         self._gone_ms: dict[str, int] = {}
 
-    def list(self, members: typing.Iterable[member.Member]) -> None:
+    def update_listing(self, members: typing.Iterable[member.Member]) -> None:
         """Take the platform's list."""
         self._listed = tuple(members)
 
-    def gone(self, now_ms: int, name: str) -> None:
+    def add_gone(self, now_ms: int, name: str) -> None:
         """Note that a VM is gone from now on."""
         self._gone_ms[name] = now_ms
 
-    def back(self, name: str) -> None:
+    def discard_gone(self, name: str) -> None:
         """Note that a VM is not gone, or is not to be pinged any more."""
         self._gone_ms.pop(name, None)
 
@@ -55,7 +55,7 @@
             found[peer.address_of(known[name])] = known[name]
         return found
 
-    def outdated(self, now_ms: int) -> tuple[str, ...]:
+    def expired(self, now_ms: int) -> tuple[str, ...]:
         """Return the VMs that have been gone for too long to be kept.
 
         VMs are replaced under new names all day long. Kept for ever, the gone
@@ -63,4 +63,6 @@
         A VM that comes back later is found by the platform's list.
         """
         items = self._gone_ms.items()
-        return tuple(name for name, since in items if now_ms - since >= FORGET_MS)
+        return tuple(
+            name for name, since in items if now_ms - since >= GONE_RETENTION_MS
+        )
--- a/eelgrasswick/trials/capacity_table.py
+++ b/eelgrasswick/trials/capacity_table.py
@@ -195,7 +195,7 @@
     def news(size: Size) -> float:
         events = size.restarts_per_day * NEWS_PER_RESTART
         events += size.failures_per_day * NEWS_PER_FAILURE
-        sends = gossip.SPREAD_FACTOR * int(size.vms + 2).bit_length()
+        sends = gossip.RETRANSMIT_FACTOR * int(size.vms + 2).bit_length()
         return events / DAY_S * sends * slopes.news_bytes
 
     def cpu(size: Size) -> float:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -212,7 +212,7 @@
     # ones would fill the memory and take the pings for those that come back.
     alone = Alone(vm("a", 1))
     alone.ping(vm("a", 1), vm("b", 2), vm("b", 2, DEAD))
-    for _ in range(unheard.FORGET_MS // 60_000 + 2):
+    for _ in range(unheard.GONE_RETENTION_MS // 60_000 + 2):
         alone.now_ms += 60_000
         alone.run(50)
     assert alone.state("b") is None
