--- a/eelgrasswick/daemons/daemon.py
+++ b/eelgrasswick/daemons/daemon.py
@@ -166,7 +166,7 @@
         # The name in a link's path is a claim. Believed from any address, one
         # process in the trusted networks could report loads, hand over flows or
         # offer configurations as any VM.
-        if self._engine.peers.speaks_from(arrival.sender, arrival.host):
+        if self._engine.peers.has_ip(arrival.sender, arrival.host):
             self._feed(message.LinkReceived(arrival.sender, arrival.payload))
             return
         claim = f"claims to be {arrival.sender}"
--- a/eelgrasswick/emulation/experiment.py
+++ b/eelgrasswick/emulation/experiment.py
@@ -198,7 +198,7 @@
             for other in self.nodes.values()
             if other is item or (other.alive and not (other.cut or item.cut))
         ]
-        item.peers.learn([other.me for other in self.nodes.values()])
+        item.peers.set_members([other.me for other in self.nodes.values()])
         item.tables.epochs.advance(self.clock_ms, node.view(self._config, seen))
 
     # Events.
--- a/eelgrasswick/fleet/peer.py
+++ b/eelgrasswick/fleet/peer.py
@@ -22,7 +22,7 @@
         self._members: dict[str, member.Member] = {}
         self._names: dict[packet.Address, str] = {}
 
-    def learn(self, members: typing.Iterable[member.Member]) -> None:
+    def set_members(self, members: typing.Iterable[member.Member]) -> None:
         """Take the present view of the fleet, the dead ones included."""
         self._members = {item.name: item for item in members}
         ordered = sorted(self._members.values(), key=lambda item: item.incarnation)
@@ -32,7 +32,7 @@
         """Return the VM that speaks from a peer address."""
         return self._names.get(source)
 
-    def speaks_from(self, name: str, ip: str) -> bool:
+    def has_ip(self, name: str, ip: str) -> bool:
         """Tell whether a VM of this name is known at an IPv4 address."""
         known = self._members.get(name)
         return known is not None and known.ip == ip
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -309,7 +309,7 @@
         self.membership.changed = False
         self.keeper.changed = False
         self.membership.sequence = self.keeper.sequence
-        self.peers.learn(self.membership.members)
+        self.peers.set_members(self.membership.members)
         if self.keeper.current is not None:
             self._begin_epoch(now_ms, self.keeper.current)
         if announce:
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -28,7 +28,7 @@
         self.peers = peer.Peers(self.outbox)
         self.me = self.vm("me", 1)
         self.others = [self.vm(f"vm{n}", n) for n in range(2, 9)]
-        self.peers.learn([self.me, *self.others])
+        self.peers.set_members([self.me, *self.others])
         self.keeper = keeper.ConfigSync("me", self.peers, self.outbox)
         self.keeper.offer(NOW_MS, self.value(5), "store")
         self.outbox.take()
