--- a/eelgrasswick/change.py
+++ b/eelgrasswick/change.py
@@ -17,8 +17,8 @@
 )
 from eelgrasswick.homes import retired
 
-VACANT_MS: typing.Final = 10_000
-TRIES: typing.Final = 4
+ADDRESS_REUSE_DELAY_MS: typing.Final = 10_000
+MAX_ATTEMPTS: typing.Final = 4
 FLEET_AUTHOR: typing.Final = "fleet"
 _EMPTY: typing.Final = config.Document(0, "", "", 0, "", "", ())
 
@@ -130,7 +130,7 @@
         if plan.empty:
             before = plan.before
             return Result(Outcome.UNCHANGED, before.sequence, before.change_id, ())
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 committed = await self._commit(plan)
             except errors.StoreError as error:
@@ -161,7 +161,7 @@
         # surprise the operator later. Its change id shows whether it took
         # effect; if not, writing the present document again under a new
         # revision makes the copy under way fail its comparison for good.
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 row = await self._store.read(store.RULES_KEY)
                 present = config.decode(row.value) if row is not None else _EMPTY
@@ -242,7 +242,7 @@
     return msgspec.json.decode(row.value, type=AuditEntry)
 
 
-def repair_put(document: config.Document) -> store.Put:
+def repaired_audit_put(document: config.Document) -> store.Put:
     """Return the trail's entry for a document put back into the store."""
     entry = AuditEntry(
         document.sequence,
@@ -256,7 +256,7 @@
     return store.Put(key, msgspec.json.encode(entry))
 
 
-def empty_put(item: message.RecordEmpty) -> store.Put:
+def target_empty_audit_put(item: message.RecordEmpty) -> store.Put:
     """Return the trail's entry for a target that has no open flow left."""
     entry = AuditEntry(
         item.sequence,
@@ -301,7 +301,7 @@
     service to another in one change, those that are behind would send the new
     service's callers to the old one's targets, which would serve them.
     """
-    settled = now_ms - before.at_ms >= VACANT_MS
+    settled = now_ms - before.at_ms >= ADDRESS_REUSE_DELAY_MS
     former = rule.parse(before.text).rules
     if settled:
         held, served = _addresses(former)
@@ -332,7 +332,7 @@
         line,
         1,
         f"{place} belongs to service {name!r}, or did so until a moment ago",
-        f"remove that line first and add this one {VACANT_MS // 1000} s later",
+        f"remove that line first and add this one {ADDRESS_REUSE_DELAY_MS // 1000} s later",
     )
 
 
--- a/eelgrasswick/daemons/watcher.py
+++ b/eelgrasswick/daemons/watcher.py
@@ -82,7 +82,7 @@
     def record_empty(self, action: message.RecordEmpty) -> None:
         """Write to the audit trail that a target is empty."""
         if len(self._unwritten) < MAX_UNWRITTEN:
-            put = change.empty_put(action)
+            put = change.target_empty_audit_put(action)
             self._unwritten[put.key] = put
         self._start(self._write_trail())
 
@@ -184,7 +184,7 @@
         compare = store.Compare(store.RULES_KEY, revision)
         puts = (
             store.Put(store.RULES_KEY, action.value),
-            change.repair_put(config.decode(action.value)),
+            change.repaired_audit_put(config.decode(action.value)),
         )
         committed = await self._store.commit((compare,), puts)
         eliot.log_message(
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -191,7 +191,7 @@
     submit(empty_world, rest, "ann")
     with pytest.raises(errors.RulesInvalidError):
         submit(empty_world, rest + line, "ann")
-    empty_world.run(change.VACANT_MS + 1000)
+    empty_world.run(change.ADDRESS_REUSE_DELAY_MS + 1000)
     submit(empty_world, rest + line, "ann")
     compiled = config.Config(accepted(empty_world))
     assert "d1" not in compiled.targets
