--- a/eelgrasswick/commands/command_story.py
+++ b/eelgrasswick/commands/command_story.py
@@ -21,7 +21,7 @@
     def __call__(self) -> None:
         """Print the story, or say that no log knows the flow."""
         lines = [line for path in self.logs for line in _lines(path)]
-        told = story.tell(lines, self.flow)
+        told = story.extract(lines, self.flow)
         if not told.flow:
             raise cappa.Exit(f"no log names {self.flow}", code=1)
         for title, part in told._asdict().items():
--- a/eelgrasswick/story.py
+++ b/eelgrasswick/story.py
@@ -12,7 +12,7 @@
 import typing
 
 # How far around a flow's lines dependencies are told.
-AROUND_S: typing.Final = 3.0
+CONTEXT_S: typing.Final = 3.0
 _PAIR: typing.Final = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)')
 _FLOW_EVENT: typing.Final = re.compile(r"^flow_")
 _TARGET_EVENTS: typing.Final = frozenset(
@@ -95,7 +95,7 @@
         return None
 
 
-def tell(lines: typing.Iterable[str], flow: str) -> Story:
+def extract(lines: typing.Iterable[str], flow: str) -> Story:
     """Pick out of some logs what concerns a flow.
 
     Args:
@@ -125,7 +125,7 @@
         told = [item for item in events if _is_about(item, line.vm, target)]
         before = [item for item in told if item.at <= line.at]
         yield from before[-1:]
-        yield from (item for item in told if 0 < _seconds(line, item) <= AROUND_S)
+        yield from (item for item in told if 0 < _seconds(line, item) <= CONTEXT_S)
 
 
 def _around(
@@ -135,7 +135,7 @@
     for item in events:
         if item.event not in _AROUND_EVENTS or item.vm not in vms:
             continue
-        if any(abs(_seconds(line, item)) <= AROUND_S for line in own):
+        if any(abs(_seconds(line, item)) <= CONTEXT_S for line in own):
             yield item
 
 
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -31,7 +31,7 @@
 
 
 def test_finds_the_flow_and_what_the_vm_believed(log: list[str]) -> None:
-    told = story.tell(log, FLOW)
+    told = story.extract(log, FLOW)
     assert [line.event for line in told.flow] == ["flow_placed", "flow_placed_again"]
     assert [line.event for line in told.targets] == ["target_known", "target_dead"]
     assert [line.event for line in told.around] == ["store_lost"]
@@ -39,7 +39,7 @@
 
 
 def test_reads_lines_that_a_collector_has_stamped(log: list[str]) -> None:
-    told = story.tell([f" 10.01 vm1 {line}" for line in log], FLOW)
+    told = story.extract([f" 10.01 vm1 {line}" for line in log], FLOW)
     assert len(told.flow) == 2
 
 
