--- a/eelgrasswick/picture.py
+++ b/eelgrasswick/picture.py
@@ -4,8 +4,8 @@
 import typing
 
 # How wide a mark is that has no length, and over how many lines labels are spread.
-LINE_S: typing.Final = 0.02
-MARK_LINES: typing.Final = 16
+MIN_MARK_WIDTH_S: typing.Final = 0.02
+LABEL_ROWS: typing.Final = 16
 
 
 class Series(typing.NamedTuple):
@@ -71,10 +71,10 @@
         )
         below = [sum(pair) for pair in zip(below, item.counts, strict=True)]
     for number, mark in enumerate(marks):
-        end_s = max(mark.until_s, mark.at_s + LINE_S)
+        end_s = max(mark.until_s, mark.at_s + MIN_MARK_WIDTH_S)
         axes.axvspan(mark.at_s, end_s, color="black", alpha=0.08, zorder=0)
         # One above the other, as several things may go wrong at once.
-        height = number % MARK_LINES / MARK_LINES
+        height = number % LABEL_ROWS / LABEL_ROWS
         place = axes.get_xaxis_transform()
         axes.text(mark.at_s, height, mark.label, fontsize=7, transform=place)
     axes.set(title=title, xlabel="seconds", ylabel=f"requests in {bin_s} s")
