--- a/eelgrasswick/history.py
+++ b/eelgrasswick/history.py
@@ -106,7 +106,7 @@
         detail: What happened.
     """
 
-    promise: str
+    invariant: str
     subject: str
     detail: str
 
@@ -155,7 +155,7 @@
             The violations; none when the promise held.
         """
 
-    def _breach(self, subject: int | str, detail: str) -> Violation:
+    def _violation(self, subject: int | str, detail: str) -> Violation:
         return Violation(self.name, str(subject), detail)
 
 
@@ -166,7 +166,7 @@
         """Count the starts of each request; see the base class."""
         counts = collections.Counter(item.number for item in run.starts)
         return [
-            self._breach(number, f"begun {count} times")
+            self._violation(number, f"begun {count} times")
             for number, count in counts.items()
             if count > 1
         ]
@@ -184,7 +184,7 @@
             if end.target:
                 targets[end.number].add(end.target)
         return [
-            self._breach(number, f"targets {', '.join(sorted(names))}")
+            self._violation(number, f"targets {', '.join(sorted(names))}")
             for number, names in targets.items()
             if len(names) > 1
         ]
@@ -199,15 +199,15 @@
         ends = collections.Counter(item.number for item in run.ends)
         started = {item.number for item in run.starts}
         found = [
-            self._breach(number, f"{count} ends for {calls[number]} calls")
+            self._violation(number, f"{count} ends for {calls[number]} calls")
             for number, count in ends.items()
             if count > calls[number]
         ]
         for item in run.ends:
             if item.outcome is Outcome.WRONG:
-                found.append(self._breach(item.number, item.detail))
+                found.append(self._violation(item.number, item.detail))
             elif item.outcome is Outcome.WHOLE and item.number not in started:
-                found.append(self._breach(item.number, "answered but never begun"))
+                found.append(self._violation(item.number, "answered but never begun"))
         return found
 
 
@@ -218,12 +218,12 @@
         """Look for starts and payload of refused calls; see the base class."""
         refused = {item.number for item in run.ends if item.outcome is Outcome.REFUSED}
         found = [
-            self._breach(item.number, f"begun at {item.target}")
+            self._violation(item.number, f"begun at {item.target}")
             for item in run.starts
             if item.number in refused
         ]
         found += [
-            self._breach(item.number, f"{item.payload_bytes} bytes at {item.target}")
+            self._violation(item.number, f"{item.payload_bytes} bytes at {item.target}")
             for item in run.deliveries
             if item.payload_bytes and item.number in refused
         ]
@@ -238,7 +238,7 @@
         meant = {item.number: item.service for item in run.calls}
         arrived: list[Delivery | Start] = [*run.deliveries, *run.starts]
         return [
-            self._breach(
+            self._violation(
                 item.flow,
                 f"of {meant[item.number]} at {item.target} of {item.service}",
             )
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -38,7 +38,7 @@
 )
 def test_checker_finds_planted_fault(promise: str, planted: history.Record) -> None:
     found = history.check(history.History((*CLEAN, planted)))
-    assert promise in {item.promise for item in found}
+    assert promise in {item.invariant for item in found}
 
 
 def test_answer_without_work_is_found() -> None:
@@ -49,4 +49,4 @@
         history.End(31, 3, history.Outcome.WHOLE, "d1", ""),
     )
     found = history.check(history.History((*CLEAN, *planted)))
-    assert [item.promise for item in found] == ["OwnWholeAnswer"]
+    assert [item.invariant for item in found] == ["OwnWholeAnswer"]
