--- a/eelgrasswick/emulation/experiment.py
+++ b/eelgrasswick/emulation/experiment.py
@@ -166,7 +166,9 @@
 
     def _at_peer(self, sender: node.Node, receiver: node.Node, payload: bytes) -> None:
         if receiver.alive:
-            actions = receiver.peer(self.clock_ms, sender.vm.name, payload)
+            actions = receiver.receive_peer_message(
+                self.clock_ms, sender.vm.name, payload
+            )
             self._carry(receiver, actions)
 
     def _tick(self, item: node.Node) -> None:
@@ -177,7 +179,7 @@
     def _report(self, item: node.Node) -> None:
         if not item.alive:
             return
-        report = item.report(self.clock_ms)
+        report = item.load_report(self.clock_ms)
         for other in self.nodes.values():
             if other is not item and not (item.cut or other.cut):
                 item.peers.send_link(other.vm.name, report)
@@ -199,7 +201,7 @@
             if other is item or (other.alive and not (other.cut or item.cut))
         ]
         item.peers.set_members([other.me for other in self.nodes.values()])
-        item.tables.epochs.advance(self.clock_ms, node.view(self._config, seen))
+        item.tables.epochs.advance(self.clock_ms, node.epoch_of(self._config, seen))
 
     # Events.
 
--- a/eelgrasswick/node.py
+++ b/eelgrasswick/node.py
@@ -38,7 +38,7 @@
 _HINTS: typing.Final = 1000
 
 
-def view(
+def epoch_of(
     current: config.Config, members: typing.Iterable[member.Member]
 ) -> epoch.Epoch:
     """Return the epoch of a VM that sees these members."""
@@ -96,12 +96,14 @@
         self.tables.flows.expire(now_ms)
         return self.outbox.take()
 
-    def report(self, now_ms: int) -> wire.LoadReport:
+    def load_report(self, now_ms: int) -> wire.LoadReport:
         """Return what this home tells the others once a second."""
         recent = self.opener.chooser.work.recent_tenths(now_ms)
         return load.report(self.tables.flows.open_by_target, recent)
 
-    def peer(self, now_ms: int, sender: str, payload: bytes) -> list[message.Action]:
+    def receive_peer_message(
+        self, now_ms: int, sender: str, payload: bytes
+    ) -> list[message.Action]:
         """Take an inquiry about a flow, or the answer to one."""
         item = wire.decode(payload)
         if isinstance(item, wire.FlowTargetRequest):
