--- a/eelgrasswick/change.py
+++ b/eelgrasswick/change.py
@@ -332,7 +332,8 @@
         line,
         1,
         f"{place} belongs to service {name!r}, or did so until a moment ago",
-        f"remove that line first and add this one {ADDRESS_REUSE_DELAY_MS // 1000} s later",
+        "remove that line first and add this one "
+        f"{ADDRESS_REUSE_DELAY_MS // 1000} s later",
     )
 
 
