--- a/eelgrasswick/change.py
+++ b/eelgrasswick/change.py
@@ -256,7 +256,7 @@
     return store.Put(key, msgspec.json.encode(entry))
 
 
-def target_empty_audit_put(item: message.RecordEmpty) -> store.Put:
+def target_empty_audit_put(item: message.RecordTargetEmpty) -> store.Put:
     """Return the trail's entry for a target that has no open flow left."""
     entry = AuditEntry(
         item.sequence,
--- a/eelgrasswick/daemons/daemon.py
+++ b/eelgrasswick/daemons/daemon.py
@@ -235,7 +235,7 @@
                 message.WatchStore()
                 | message.ReportInForce()
                 | message.RepairStore()
-                | message.RecordEmpty()
+                | message.RecordTargetEmpty()
             ):
                 self._watcher.carry_out(action)
             case message.Log():
--- a/eelgrasswick/daemons/watcher.py
+++ b/eelgrasswick/daemons/watcher.py
@@ -56,7 +56,7 @@
                 self.report(action)
             case message.RepairStore():
                 self.repair(action)
-            case message.RecordEmpty():
+            case message.RecordTargetEmpty():
                 self.record_empty(action)
 
     def set_active(self, active: bool) -> None:
@@ -79,7 +79,7 @@
         """Put a newer accepted document back into the store."""
         self._start(self._repair(action))
 
-    def record_empty(self, action: message.RecordEmpty) -> None:
+    def record_empty(self, action: message.RecordTargetEmpty) -> None:
         """Write to the audit trail that a target is empty."""
         if len(self._unwritten) < MAX_UNWRITTEN:
             put = change.target_empty_audit_put(action)
--- a/eelgrasswick/fleet/member.py
+++ b/eelgrasswick/fleet/member.py
@@ -65,7 +65,7 @@
         """True when the VM is taken for dead or has left."""
         return self.state in GONE
 
-    def newer_than(self, other: "Member") -> bool:
+    def supersedes(self, other: "Member") -> bool:
         """Tell whether this report overrides another about the same VM."""
         if self.incarnation != other.incarnation:
             return self.incarnation > other.incarnation
--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -125,7 +125,7 @@
         """Answer a heartbeat."""
         self._hear(now_ms, item.sender, item.sequence, item.updates)
         known = self.others.get(item.sender.name)
-        told = known if known is not None and known.newer_than(item.sender) else None
+        told = known if known is not None and known.supersedes(item.sender) else None
         updates = self._updates(told)
         self._peers.send_to(
             source, wire.Ack(item.number, self.me, self.sequence, updates)
@@ -177,7 +177,7 @@
             self._refute(news)
             return
         known = self.others.get(news.name)
-        if known is not None and not news.newer_than(known):
+        if known is not None and not news.supersedes(known):
             return
         if known is None and news.gone:
             return
--- a/eelgrasswick/homes/emptiness.py
+++ b/eelgrasswick/homes/emptiness.py
@@ -85,5 +85,7 @@
             if own and now_ms - known.empty_ms >= SURE_MS:
                 known.noted = True
                 self._tables.outbox.put(
-                    message.RecordEmpty(name, known.sequence, known.empty_ms, homes)
+                    message.RecordTargetEmpty(
+                        name, known.sequence, known.empty_ms, homes
+                    )
                 )
--- a/eelgrasswick/message.py
+++ b/eelgrasswick/message.py
@@ -148,7 +148,7 @@
     sequence: int
 
 
-class RecordEmpty(typing.NamedTuple):
+class RecordTargetEmpty(typing.NamedTuple):
     """Write to the audit trail that a target has no open flow left.
 
     Attributes:
@@ -183,7 +183,7 @@
 
 
 # What the task that owns the store connection carries out.
-StoreAction = WatchStore | ReportInForce | RepairStore | RecordEmpty
+StoreAction = WatchStore | ReportInForce | RepairStore | RecordTargetEmpty
 
 Action = (
     SendDatagram
@@ -193,7 +193,7 @@
     | WatchStore
     | ReportInForce
     | RepairStore
-    | RecordEmpty
+    | RecordTargetEmpty
     | Log
     | Stopped
 )
--- a/tests/world.py
+++ b/tests/world.py
@@ -368,7 +368,7 @@
                 message.WatchStore()
                 | message.ReportInForce()
                 | message.RepairStore()
-                | message.RecordEmpty()
+                | message.RecordTargetEmpty()
             ):
                 vm.watcher.carry_out(action)
             case message.Log():
