--- a/eelgrasswick/fleet/__init__.py
+++ b/eelgrasswick/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Which VMs there are, and what is in force at them."""
+"""Fleet membership, and the configuration in force at its VMs."""
--- a/eelgrasswick/fleet/contact.py
+++ b/eelgrasswick/fleet/contact.py
@@ -1,4 +1,4 @@
-"""When a VM that starts, or was paused, may serve as a home."""
+"""The condition for a VM that starts, or was paused, to serve as a home."""
 
 import typing
 
@@ -6,45 +6,47 @@
 
 
 class JoinCondition:
-    """Whether another VM has answered since this one began to join.
+    """Decides when a joining VM may serve.
 
-    A VM in contact joins once its configuration is as new as that of the VMs
-    that serve. Joined after a fixed time instead, it would place flows by an old
-    configuration, on targets that are drained. Without contact it may be cut
-    off; it then serves after ``ALONE_MS`` with what it has.
+    A VM that has received an Ack from a peer joins once its configuration is as
+    new as that of the VMs that serve. If it joined after a fixed time instead, it
+    would place flows by an old configuration, on targets that are drained. A VM
+    without an Ack may be cut off from the fleet; it serves after
+    ``ISOLATED_JOIN_DELAY_MS`` with the configuration that it has.
     """
 
     def __init__(self) -> None:
-        """Begin to join."""
-        self._begun_ms: int | None = None
-        self._answered = False
-        self._after = 0
+        """Start without an Ack from any peer."""
+        self._started_ms: int | None = None
+        self._acked = False
+        self._last_stale_number = 0
 
     def restart(self, last_number: int) -> None:
-        """Begin anew after a pause.
+        """Discard all Acks and start again after a pause.
 
         Args:
             last_number: Number of the last heartbeat sent. Acks to it and to
-                earlier ones may have waited in the socket during the pause.
+                earlier heartbeats may have waited in the socket during the
+                pause, so they don't count as contact.
         """
-        self._begun_ms = None
-        self._answered = False
-        self._after = last_number
+        self._started_ms = None
+        self._acked = False
+        self._last_stale_number = last_number
 
     def record_ack(self, number: int) -> None:
-        """Take the number of an Ack."""
-        if number > self._after:
-            self._answered = True
+        """Record the number of a received Ack."""
+        if number > self._last_stale_number:
+            self._acked = True
 
     def may_join(self, now_ms: int, caught_up: bool) -> bool:
-        """Tell whether the VM may serve.
+        """Return whether the VM may serve.
 
         Args:
             now_ms: Present time in milliseconds.
             caught_up: True when no serving VM has a newer configuration.
         """
-        if self._begun_ms is None:
-            self._begun_ms = now_ms
-        if self._answered:
+        if self._started_ms is None:
+            self._started_ms = now_ms
+        if self._acked:
             return caught_up
-        return now_ms - self._begun_ms >= ISOLATED_JOIN_DELAY_MS
+        return now_ms - self._started_ms >= ISOLATED_JOIN_DELAY_MS
--- a/eelgrasswick/fleet/gossip.py
+++ b/eelgrasswick/fleet/gossip.py
@@ -1,4 +1,4 @@
-"""Which news about VMs still has to ride on heartbeats, and how often."""
+"""Selection of the membership updates that heartbeats carry."""
 
 import collections
 import typing
@@ -8,38 +8,39 @@
 
 
 class Gossip:
-    """Counts how often each piece of news was sent, and picks the freshest.
+    """Counts how often each update was sent, and selects the least sent ones.
 
-    Each piece is sent a multiple of the logarithm of the fleet's size, which is
-    enough to reach every VM with high probability; a heartbeat carries at most
-    ``MAX_UPDATES`` pieces, so its size does not grow with the fleet.
+    Each update is sent ``RETRANSMIT_FACTOR`` times the logarithm of the fleet's
+    size, which is enough to reach every VM with high probability. A heartbeat
+    carries at most ``MAX_UPDATES`` updates, so its size does not grow with the
+    fleet.
     """
 
     def __init__(self) -> None:
-        """Start without news."""
+        """Start without updates."""
         self._sent: collections.Counter[str] = collections.Counter()
 
     def add(self, name: str) -> None:
-        """Spread the news about a VM from now on."""
+        """Start to disseminate the state of a VM, or start again."""
         self._sent[name] = 0
 
     def discard(self, name: str) -> None:
-        """Spread no more news about a VM."""
+        """Stop disseminating the state of a VM."""
         self._sent.pop(name, None)
 
-    def next_updates(self, fleet: int) -> list[str]:
-        """Return the VMs to tell of in the next heartbeat, and count it.
+    def next_updates(self, fleet_size: int) -> list[str]:
+        """Select the updates for the next heartbeat and count them as sent.
 
         Args:
-            fleet: Number of known VMs.
+            fleet_size: Number of known VMs.
 
         Returns:
-            Names, the news sent least often in front.
+            Names of the VMs whose state is sent, the least often sent first.
         """
-        limit = RETRANSMIT_FACTOR * (fleet + 1).bit_length()
-        fresh = sorted(self._sent.items(), key=lambda item: item[1])[:MAX_UPDATES]
-        for name, sent in fresh:
+        limit = RETRANSMIT_FACTOR * (fleet_size + 1).bit_length()
+        selected = sorted(self._sent.items(), key=lambda item: item[1])[:MAX_UPDATES]
+        for name, sent in selected:
             self._sent[name] = sent + 1
             if sent + 1 >= limit:
                 del self._sent[name]
-        return [name for name, _ in fresh]
+        return [name for name, _ in selected]
--- a/eelgrasswick/fleet/member.py
+++ b/eelgrasswick/fleet/member.py
@@ -1,13 +1,13 @@
-"""A VM of the fleet as the others see it."""
+"""The record that each VM has of the others."""
 
 import enum
 import typing
 
 import msgspec
 
-# Members come in messages of other VMs, and their addresses are sent to. One that
-# is no address would fail at each heartbeat from then on, and the VM that took it
-# in would look dead to the others; so decoding checks these bounds.
+# Members arrive in messages of other VMs, and this VM sends to their addresses. An
+# invalid address would make every later heartbeat fail, and the VM that had
+# accepted it would appear dead to the others. Decoding therefore checks these bounds.
 _OCTET: typing.Final = r"(25[0-5]|2[0-4]\d|1\d\d|[1-9]?\d)"
 _MAX_NAME: typing.Final = 63
 Name = typing.Annotated[str, msgspec.Meta(min_length=1, max_length=_MAX_NAME)]
@@ -18,7 +18,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """Life of a VM; for one incarnation a higher state overrides a lower one."""
+    """Life cycle of a VM; within an incarnation a higher state overrides a lower."""
 
     JOINING = 0
     ALIVE = 1
@@ -33,17 +33,17 @@
 
 
 class Member(typing.NamedTuple):
-    """One entry VM and what is known of it.
+    """The identity, addresses and state of one entry VM.
 
     Attributes:
         name: Unique name of the VM.
-        zone: Its availability zone.
-        ip: Its IPv4 address, dotted.
+        zone: Availability zone of the VM.
+        ip: IPv4 address in dotted form.
         peer_port: UDP port for heartbeats and forwarded packets.
         link_port: TCP port for links.
-        size: Relative strength of the VM.
-        incarnation: Grows with each start and each refuted suspicion.
-        state: Where it is in its life.
+        size: Relative capacity of the VM.
+        incarnation: Increases with each start and each refuted suspicion.
+        state: State in the life cycle.
     """
 
     name: Name
@@ -62,11 +62,11 @@
 
     @property
     def gone(self) -> bool:
-        """True when the VM is taken for dead or has left."""
+        """True when the VM is confirmed dead or has left."""
         return self.state in GONE
 
     def supersedes(self, other: "Member") -> bool:
-        """Tell whether this report overrides another about the same VM."""
+        """Return whether this record overrides another of the same VM."""
         if self.incarnation != other.incarnation:
             return self.incarnation > other.incarnation
         return self.state > other.state
--- a/eelgrasswick/fleet/probe.py
+++ b/eelgrasswick/fleet/probe.py
@@ -1,4 +1,4 @@
-"""Heartbeats that wait for an Ack, own ones and those sent for other VMs."""
+"""Heartbeats that wait for an Ack, including those sent for other VMs."""
 
 import typing
 
@@ -14,8 +14,8 @@
 
     Attributes:
         number: Number of the heartbeat.
-        name: The VM it went to.
-        final: True when other VMs were asked to try as well, in vain.
+        name: The VM that was pinged.
+        final: True when the indirect pings through other VMs got no Ack either.
     """
 
     number: int
@@ -24,12 +24,12 @@
 
 
 class Relayed(typing.NamedTuple):
-    """A heartbeat sent for another VM that got no Ack itself.
+    """A heartbeat sent on behalf of a VM that got no Ack itself.
 
     Attributes:
-        number: Number that the asker gave its heartbeat.
-        asker: Peer address of the asker.
-        name: The VM it went to.
+        number: Number that the requester gave its heartbeat.
+        requester: Peer address of the requester.
+        name: The VM that is pinged.
     """
 
     number: int
@@ -50,22 +50,22 @@
     """Numbers heartbeats and matches Acks to them."""
 
     def __init__(self) -> None:
-        """Start with nothing under way."""
+        """Start without outstanding heartbeats."""
         self.last_number = 0
         self._waiting: dict[int, _Waiting] = {}
         self._relayed: dict[int, Relayed] = {}
 
     def take_number(self) -> int:
-        """Return a number for a heartbeat."""
+        """Return the number for a new heartbeat."""
         self.last_number += 1
         return self.last_number
 
     def expect_ack(self, now_ms: int, number: int, name: str) -> None:
-        """Wait for the Ack of a VM to a numbered heartbeat."""
+        """Start the Ack timeout of a heartbeat to a VM."""
         self._waiting[number] = _Waiting(name, now_ms + ACK_TIMEOUT_MS)
 
     def relay(self, item: Relayed) -> int:
-        """Return the number for a heartbeat that is sent for another VM."""
+        """Return the number for a heartbeat sent on behalf of another VM."""
         number = self.take_number()
         self._relayed[number] = item
         if len(self._relayed) > MAX_RELAYED:
@@ -73,16 +73,16 @@
         return number
 
     def record_ack(self, number: int, name: str) -> Relayed | None:
-        """Take an Ack.
+        """Match an Ack to its heartbeat.
 
         Args:
-            number: Number it carries.
-            name: The VM that sent it. Another VM may have got the address of a
-                dead one; its answers prove nothing about the VM that was
-                pinged, which would stay the home of flows for ever.
+            number: Number that the Ack carries.
+            name: The VM that sent the Ack. Another VM may have got the address
+                of a dead one. If its Acks counted for the VM that was pinged,
+                the dead VM would stay the home of flows for ever.
 
         Returns:
-            The other VM's heartbeat that the Ack has to be passed on for.
+            The relayed heartbeat whose requester must receive the Ack, if any.
         """
         waiting = self._waiting.get(number)
         if waiting is not None and waiting.name == name:
@@ -93,7 +93,11 @@
         return self._relayed.pop(number)
 
     def overdue(self, now_ms: int) -> list[Overdue]:
-        """Return the heartbeats whose time is up, each once or twice in all."""
+        """Return the heartbeats whose Ack timeout has passed.
+
+        A heartbeat is returned once when the direct Ack is overdue, and once more
+        when the indirect one is.
+        """
         found = []
         for number, item in list(self._waiting.items()):
             if item.due_ms > now_ms:
@@ -106,5 +110,5 @@
         return found
 
     def clear(self) -> None:
-        """Expect no Ack any more."""
+        """Discard all Ack timeouts."""
         self._waiting.clear()
--- a/eelgrasswick/fleet/turn.py
+++ b/eelgrasswick/fleet/turn.py
@@ -1,31 +1,32 @@
-"""Whose turn it is: names in a shuffled order, each once a round."""
+"""Round-robin selection in an order that is shuffled for each round."""
 
 import random
 import typing
 
 
 class ShuffledRoundRobin:
-    """Goes through names that come and go.
+    """Selects names from a changing collection, each once per round.
 
-    With a name drawn anew each time, some would wait for many rounds; a shuffled
-    round bounds the time until each had its turn (SWIM, Das, Gupta, Motivala 2002).
+    If each name were drawn independently, some names would wait for many rounds.
+    A shuffled round bounds the time until each name is selected (SWIM, Das,
+    Gupta, Motivala 2002).
     """
 
     def __init__(self, rng: random.Random) -> None:
-        """Shuffle with a source of randomness."""
+        """Start without a round; ``rng`` shuffles each one."""
         self._rng = rng
-        self._left: list[str] = []
+        self._remaining: list[str] = []
 
     def next(self, names: typing.Collection[str]) -> str | None:
-        """Return the next name, or None when there is none.
+        """Return the next name, or None when there are no names.
 
         Args:
-            names: All that may have a turn now.
+            names: All names that may be selected now.
         """
-        while self._left:
-            name = self._left.pop()
+        while self._remaining:
+            name = self._remaining.pop()
             if name in names:
                 return name
-        self._left = list(names)
-        self._rng.shuffle(self._left)
-        return self._left.pop() if self._left else None
+        self._remaining = list(names)
+        self._rng.shuffle(self._remaining)
+        return self._remaining.pop() if self._remaining else None
