--- a/eelgrasswick/fleet/keeper.py
+++ b/eelgrasswick/fleet/keeper.py
@@ -1,9 +1,11 @@
-"""Keeps the accepted configuration in force, and spreads it.
+"""Dissemination of the accepted configuration within the fleet.
 
 Two VMs of each zone watch the platform's store, so that the number of calls
-grows with the zones and not with the fleet. Who gets a newer configuration
-announces it to a few others with a ping; who hears of a newer one, by any
-ping, asks for it. The push makes it fast, the pull repairs what was lost.
+grows with the number of zones and not with the size of the fleet. A VM that gets
+a newer configuration announces its sequence to a few others with a ping. A VM
+that receives a ping with a newer sequence requests the document from the sender.
+The announcement makes dissemination fast, and the request from any later ping
+repairs lost announcements.
 """
 
 import typing
@@ -25,15 +27,15 @@
 REPORT_INTERVAL_MS: typing.Final = 5000
 REPORT_AFTER_CHANGE_MS: typing.Final = 300
 PEER_DISCOVERY_MS: typing.Final = 1500
-_COUNT: typing.Final = message.Counter
-_STAYING: typing.Final = member.SERVING | {member.MemberState.JOINING}
+_COUNTER: typing.Final = message.Counter
+_REMAINING_STATES: typing.Final = member.SERVING | {member.MemberState.JOINING}
 
 
 class ConfigSync:
-    """The configuration in force at one VM; its sequence never goes back."""
+    """The configuration in force at one VM; its sequence never decreases."""
 
     def __init__(self, name: str, peers: peer.Peers, outbox: message.Outbox) -> None:
-        """Start without a configuration."""
+        """Start without a configuration in force."""
         self._name = name
         self._peers = peers
         self._outbox = outbox
@@ -41,23 +43,23 @@
         self.changed = False
         self.watching = False
         self._value = b""
-        self._begun_ms: int | None = None
-        self._want_ms = 0
-        self._report_ms = 0
+        self._started_ms: int | None = None
+        self._next_request_ms = 0
+        self._next_report_ms = 0
         self._reported: tuple[message.InForce, ...] = ()
 
     @property
     def sequence(self) -> int:
-        """Sequence in force; 0 for none."""
+        """Sequence of the configuration in force; 0 for none."""
         return self.current.sequence if self.current is not None else 0
 
     def offer(self, now_ms: int, value: bytes, source: str) -> None:
-        """Take a document from the store or a peer, if it is newer.
+        """Put a document from the store or a peer in force if it is newer.
 
         Args:
             now_ms: Present time in milliseconds.
-            value: Encoded document, or anything else.
-            source: Where it came from, for the log.
+            value: Encoded document, or any other bytes.
+            source: Origin of the value, for the log.
         """
         try:
             document = config.decode(value)
@@ -66,9 +68,10 @@
                 return
             candidate = config.Config(document)
         except errors.RulesInvalidError as error:
-            # A malformed value in the store reaches every VM. Put in force it
-            # would stop the fleet; refused, the last good one goes on.
-            self._outbox.count(_COUNT.CONFIG_REFUSED)
+            # A malformed value in the store reaches every VM. If VMs put it in
+            # force, the whole fleet would stop serving. Each VM refuses it and
+            # goes on with the last valid configuration.
+            self._outbox.count(_COUNTER.CONFIG_REFUSED)
             self._outbox.put(
                 message.log(
                     "config_refused",
@@ -84,14 +87,16 @@
         self, now_ms: int, candidate: config.Config, value: bytes, source: str
     ) -> None:
         if self.current is not None:
-            # A VM that starts does not know yet who reports for its zone. Did
-            # each report with its first configuration, the start of a fleet
-            # would bring two calls from every VM.
-            self._report_ms = min(self._report_ms, now_ms + REPORT_AFTER_CHANGE_MS)
+            # A VM that starts has not yet found the VM that reports for its zone.
+            # If each VM reported after its first configuration, the start of a
+            # fleet would cause two calls from every VM.
+            self._next_report_ms = min(
+                self._next_report_ms, now_ms + REPORT_AFTER_CHANGE_MS
+            )
         self.current = candidate
         self.changed = True
         self._value = value
-        self._outbox.count(_COUNT.CONFIG_ACCEPTED)
+        self._outbox.count(_COUNTER.CONFIG_ACCEPTED)
         self._outbox.put(
             message.log(
                 "config_in_force",
@@ -107,7 +112,7 @@
         same = document.sequence == self.sequence
         if same and document == self.current.document:
             return
-        self._outbox.count(_COUNT.CONFIG_REFUSED)
+        self._outbox.count(_COUNTER.CONFIG_REFUSED)
         self._outbox.put(
             message.log(
                 "config_refused",
@@ -119,25 +124,26 @@
         )
 
     def store_read(self, now_ms: int, value: bytes | None) -> None:
-        """Take what a read or watch of the store returned."""
+        """Process the value that a read or watch of the store returned."""
         if value is not None:
             self.offer(now_ms, value, "store")
         if self.current is None or value == self._value:
             return
-        document = _document(value)
+        document = _decode_or_none(value)
         if document is None or document.sequence < self.sequence:
-            # The store was restored from an older copy. Left so, the next
-            # change would get a sequence that all VMs refuse; the operator
-            # would see it accepted and never in force.
+            # The store was restored from an older copy or holds an invalid value.
+            # Without a repair the next change would get a sequence that all VMs
+            # refuse, and the operator would see it accepted but never in force.
             self._outbox.put(message.RepairStore(self._value, self.sequence))
         elif document.sequence == self.sequence:
-            self._repair_twin(document)
-
-    def _repair_twin(self, document: config.Document) -> None:
-        # After a restore an operator's change can get the sequence of one that
-        # is in force already. VMs that start would take it, the others refuse
-        # it, and the fleet would be divided. What is in force stays and gets a
-        # higher sequence; the operator's next plan shows that it won.
+            self._repair_duplicate_sequence(document)
+
+    def _repair_duplicate_sequence(self, document: config.Document) -> None:
+        # After a restore an operator's change can get the sequence of a document
+        # that is in force already. VMs that start would accept it, the others
+        # would refuse it, and the fleet would be divided. The document in force
+        # stays and is written back with a higher sequence; the operator's next
+        # plan shows that it prevailed.
         assert self.current is not None
         mine = self.current.document
         if document == mine:
@@ -146,13 +152,13 @@
         self._outbox.put(message.RepairStore(config.encode(raised), raised.sequence))
 
     def request_if_newer(self, now_ms: int, name: str, sequence: int) -> None:
-        """Ask a VM for its configuration when it is newer."""
-        if sequence > self.sequence and now_ms >= self._want_ms:
-            self._want_ms = now_ms + REQUEST_INTERVAL_MS
+        """Request the configuration of a VM if its sequence is newer."""
+        if sequence > self.sequence and now_ms >= self._next_request_ms:
+            self._next_request_ms = now_ms + REQUEST_INTERVAL_MS
             self._peers.send_link(name, wire.ConfigRequest(self.sequence))
 
     def send_if_newer(self, sender: str, item: wire.ConfigRequest) -> None:
-        """Send the document to a VM that has an older one."""
+        """Respond to a request if the requesting VM has an older document."""
         if self.sequence > item.sequence:
             self._peers.send_link(sender, wire.ConfigResponse(self._value))
 
@@ -163,22 +169,23 @@
         members: typing.Sequence[member.Member],
         sequences: dict[str, int],
     ) -> None:
-        """Take up or lay down the watch, and report what is in force."""
-        if self._begun_ms is None:
-            self._begun_ms = now_ms
-            self._report_ms = now_ms + REPORT_INTERVAL_MS
+        """Start or stop the watch, and report which sequences are in force."""
+        if self._started_ms is None:
+            self._started_ms = now_ms
+            self._next_report_ms = now_ms + REPORT_INTERVAL_MS
         zone = [item for item in members if item.zone == me.zone]
         order = _watch_order(zone)
-        # When all VMs start at once each knows itself only. Did each watch at
-        # once, the platform would get a call from every VM of the fleet.
+        # When all VMs start at the same time, each has only itself as a member. If
+        # each started to watch immediately, the platform would get a call from
+        # every VM of the fleet.
         others_serve = any(item.serves and item.name != me.name for item in zone)
-        known = others_serve or now_ms - self._begun_ms >= PEER_DISCOVERY_MS
-        active = known and me.name in order[:WATCHERS_PER_ZONE]
+        discovered = others_serve or now_ms - self._started_ms >= PEER_DISCOVERY_MS
+        active = discovered and me.name in order[:WATCHERS_PER_ZONE]
         if active != self.watching:
             self.watching = active
             self._outbox.put(message.WatchStore(active))
-        if order[:1] == [me.name] and now_ms >= self._report_ms:
-            self._report_ms = now_ms + REPORT_INTERVAL_MS
+        if order[:1] == [me.name] and now_ms >= self._next_report_ms:
+            self._next_report_ms = now_ms + REPORT_INTERVAL_MS
             self._report(me, members, sequences)
 
     def _report(
@@ -187,16 +194,16 @@
         members: typing.Sequence[member.Member],
         sequences: dict[str, int],
     ) -> None:
-        present = {**sequences, me.name: self.sequence}
+        in_force = {**sequences, me.name: self.sequence}
         entries = tuple(
-            message.InForce(item.name, present.get(item.name, 0))
+            message.InForce(item.name, in_force.get(item.name, 0))
             for item in sorted(members)
             if item.zone == me.zone and not item.gone
         )
         self._outbox.put(message.ReportInForce(entries))
 
 
-def _document(value: bytes | None) -> config.Document | None:
+def _decode_or_none(value: bytes | None) -> config.Document | None:
     if value is None:
         return None
     try:
@@ -206,9 +213,10 @@
 
 
 def _watch_order(zone: typing.Sequence[member.Member]) -> list[str]:
-    # VMs that are joining count as well. When all start at once, each would
-    # else take itself for the only one that serves, and watch.
-    staying = [item for item in zone if item.state in _STAYING]
-    present = staying or [item for item in zone if not item.gone]
+    # Joining VMs are candidates as well. If only serving VMs were, each VM of a
+    # fleet that starts at the same time would find itself the only candidate, and
+    # all of them would watch.
+    remaining = [item for item in zone if item.state in _REMAINING_STATES]
+    present = remaining or [item for item in zone if not item.gone]
     candidates = [rendezvous.candidate(item.name, 1.0) for item in present]
     return rendezvous.ranked(b"watch", candidates)
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -1,7 +1,7 @@
-"""Membership and configuration under faults drawn at random.
+"""Membership and configuration under randomly generated faults.
 
-Kills, pauses, cuts, outages and restores come in any order, two at once among
-them. Afterwards every VM must know the same fleet and have one configuration.
+Kills, pauses, network cuts, outages and restores occur in any order, also at the
+same time. Afterwards all VMs must have the same members and one configuration.
 """
 
 import typing
@@ -19,14 +19,14 @@
 from tests import control_steps, fleet_view, operators, world
 
 ZONES = control_steps.ZONES
-SPOILED = (b"", b"garbage")
+INVALID_VALUES = (b"", b"garbage")
 SETTLE_MS = 20_000
 MIN_VMS = 3
-OTHERS = (ZONES, (*ZONES, world.PLATFORM), (world.PLATFORM,), ZONES[:1])
+CUT_PEERS = (ZONES, (*ZONES, world.PLATFORM), (world.PLATFORM,), ZONES[:1])
 
 
 class Fleet(stateful.RuleBasedStateMachine):
-    """A fleet of six VMs, an operator and the platform."""
+    """Stateful test of a fleet of six VMs, an operator and the platform."""
 
     def __init__(self) -> None:
         """Start the fleet and wait until it serves."""
@@ -36,7 +36,7 @@
         self.world = self.control.world
         self.in_force: list[history_config.InForce] = []
         self.started = 6
-        self.restored = False
+        self.saved = False
 
     def _run(self, ms: int) -> None:
         for _ in range(ms // 50):
@@ -46,44 +46,44 @@
 
     @stateful.rule(ms=st.integers(100, 12_000))
     def time_passes(self, ms: int) -> None:
-        """Nothing happens for a while."""
+        """Let time pass without a new fault."""
         self._run(ms)
 
     @stateful.rule(pick=st.integers(0, 99))
     def kill(self, pick: int) -> None:
-        """A VM loses its power."""
+        """Kill a VM, as a power failure does."""
         running = fleet_view.running(self.world)
         if len(running) > MIN_VMS:
             self.world.kill(running[pick % len(running)].me.name)
 
     @stateful.rule(pick=st.integers(0, 99))
     def leave(self, pick: int) -> None:
-        """An operator stops a VM."""
+        """Stop a VM as an operator does."""
         running = fleet_view.running(self.world)
         if len(running) > MIN_VMS:
             self.world.leave(running[pick % len(running)].me.name)
 
     @stateful.rule(zone=st.sampled_from(ZONES))
     def start(self, zone: str) -> None:
-        """A new VM starts."""
+        """Start a new VM."""
         if self.started < 10:
             self.started += 1
             self.world.add_vm(f"vm{self.started}", zone)
 
     @stateful.rule(pick=st.integers(0, 99), ms=st.integers(200, 6000))
     def pause(self, pick: int, ms: int) -> None:
-        """A VM does not run for a while."""
+        """Pause a VM for some time."""
         running = fleet_view.running(self.world)
         if len(running) > 1:
             self.world.pause(running[pick % len(running)].me.name, ms)
 
     @stateful.rule(
         zone=st.sampled_from(ZONES),
-        others=st.sampled_from(OTHERS),
+        others=st.sampled_from(CUT_PEERS),
         both=st.booleans(),
     )
     def cut(self, zone: str, others: tuple[str, ...], both: bool) -> None:
-        """A zone loses other places, or one way to them is lost."""
+        """Cut a zone off from other places, in both directions or in one."""
         for other in others:
             if both or other == world.PLATFORM:
                 self.world.cut(zone, other)
@@ -92,61 +92,61 @@
 
     @stateful.rule()
     def heal(self) -> None:
-        """All cuts end."""
+        """End all cuts."""
         self.world.heal()
 
     @stateful.rule(fault=st.sampled_from([{}, {"outage": True}, {"delay_ms": 300}]))
     def platform(self, fault: dict[str, typing.Any]) -> None:
-        """The platform goes down, gets slow or recovers."""
+        """Let the platform fail, slow down or recover."""
         self.control.faults(**fault)
 
     @stateful.rule()
-    def mute(self) -> None:
-        """All watches stop to pass changes on."""
+    def mute_watches(self) -> None:
+        """Let all watches stop delivering changes without an error."""
         self.world.platform.mute_watches()
 
     @stateful.rule()
-    def copy(self) -> None:
-        """The platform's operators take a copy."""
+    def copy_store(self) -> None:
+        """Save a copy of the platform's store."""
         self.world.platform.save()
-        self.restored = True
+        self.saved = True
 
-    @stateful.precondition(lambda self: self.restored)
+    @stateful.precondition(lambda self: self.saved)
     @stateful.rule()
     def restore(self) -> None:
-        """The platform's operators go back to the copy."""
+        """Restore the platform's store from the copy."""
         if not self.world.platform.faults.outage:
             self.world.platform.restore()
 
     @stateful.rule()
     def edit(self) -> None:
-        """An operator changes the rules, when the platform has some."""
+        """Change the rules as an operator does, if the store holds valid ones."""
         held = self.world.platform.rows(store.RULES_KEY)[0].value
-        if held not in SPOILED and not self.world.platform.faults.outage:
+        if held not in INVALID_VALUES and not self.world.platform.faults.outage:
             self.control.text += "# edited\n"
             result = self.world.apply(self.control.text)
             assert result.outcome is not change.Outcome.CONFLICT
 
-    @stateful.rule(value=st.sampled_from(SPOILED))
-    def spoil(self, value: bytes) -> None:
-        """Something else writes under the key."""
+    @stateful.rule(value=st.sampled_from(INVALID_VALUES))
+    def set_invalid_value(self, value: bytes) -> None:
+        """Write an invalid value to the rules key."""
         put = store.Put(store.RULES_KEY, value)
         self.world.platform.write((), (put,))
 
     @stateful.invariant()
-    def never_back(self) -> None:
-        """No VM's sequence goes back."""
+    def sequences_never_decrease(self) -> None:
+        """Check that no VM's sequence decreases."""
         assert fleet_view.monotone(self.world)
 
     @stateful.invariant()
     def serves_only_with_rules(self) -> None:
-        """No VM serves without a configuration."""
+        """Check that no VM serves without a configuration."""
         for vm in fleet_view.running(self.world):
             serves = vm.engine.membership.me.serves
             assert not serves or vm.engine.keeper.current is not None
 
     def teardown(self) -> None:
-        """End all faults; the fleet must come together again."""
+        """End all faults; check that the fleet converges."""
         self.world.heal()
         self.control.faults()
         self._run(6000)
@@ -172,9 +172,9 @@
             assert set(current.members) == names
 
 
-# A VM that was asked to stop, kept from its rules for seconds, or woken beside
-# a cut has to find its way back without help; an operator would otherwise see
-# half of the fleet refuse what the other half serves.
+# A VM that was asked to stop, that could not read its rules for seconds, or that
+# resumed next to a network cut must recover without help. Otherwise an operator
+# would see half of the fleet refuse flows that the other half serves.
 TestFleet = Fleet.TestCase
 TestFleet.settings = hypothesis.settings(
     max_examples=30,
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one VM."""
+"""Acceptance, repair and dissemination of the configuration at one VM."""
 
 import typing
 
@@ -18,8 +18,8 @@
 NOW_MS = 1_800_000_000_000
 
 
-class Kept:
-    """One VM's keeper without a network around it."""
+class LocalConfig:
+    """One VM's ``ConfigSync`` without a network around it."""
 
     def __init__(self, text: str) -> None:
         """Start with sequence 5 in force."""
@@ -50,96 +50,105 @@
         return [item for item in self.outbox.take() if isinstance(item, kind)]
 
     def refused(self) -> list[str]:
-        """Return the kinds of refusals logged since the last call."""
+        """Return the kinds of the refusals logged since the last call."""
         logs = self.taken(message.Log)
         fields = [dict(item.fields) for item in logs if item.name == "config_refused"]
         return [str(item["kind"]) for item in fields]
 
 
 @pytest.fixture
-def kept(rules_text: str) -> Kept:
+def local(rules_text: str) -> LocalConfig:
     """A VM with sequence 5 in force."""
-    return Kept(rules_text)
+    return LocalConfig(rules_text)
 
 
-def test_older_document_is_refused_and_logged(kept: Kept) -> None:
-    # A slow peer or a stale read brings an older document. In force, it would
-    # undo an accepted change, a drain for instance.
-    kept.keeper.offer(NOW_MS, kept.value(4), "vm2")
-    assert kept.keeper.sequence == 5
-    assert kept.refused() == ["config_stale"]
+def test_older_document_is_refused_and_logged(local: LocalConfig) -> None:
+    # A slow peer or a stale read delivers an older document. If it were put in
+    # force, it would undo an accepted change, for example a drain.
+    local.keeper.offer(NOW_MS, local.value(4), "vm2")
+    assert local.keeper.sequence == 5
+    assert local.refused() == ["config_stale"]
 
 
 @pytest.mark.parametrize("value", [b"", b"garbage", b"e30=", b"eJwDAAAAAAE="])
-def test_malformed_value_is_refused_and_replaced(kept: Kept, value: bytes) -> None:
-    # Something else wrote under the rules key. The VMs serve on, and a watcher
-    # puts the last good document back, so that new VMs get one.
-    kept.keeper.store_read(NOW_MS, value)
-    assert kept.keeper.sequence == 5
-    repairs = kept.taken(message.RepairStore)
+def test_malformed_value_is_refused_and_repaired(
+    local: LocalConfig, value: bytes
+) -> None:
+    # Another program writes to the rules key. The VMs must continue to serve, and
+    # a watching VM must write the last valid document back, so that new VMs get it.
+    local.keeper.store_read(NOW_MS, value)
+    assert local.keeper.sequence == 5
+    repairs = local.taken(message.RepairStore)
     assert [item.sequence for item in repairs] == [5]
 
 
-def test_newer_document_with_faults_is_refused_and_left(kept: Kept) -> None:
-    # Another version of the product wrote rules that this one can't read. It
-    # must not overwrite them, or old and new VMs would undo each other.
+def test_newer_document_with_faults_is_refused_but_not_overwritten(
+    local: LocalConfig,
+) -> None:
+    # Another version of the product writes rules that this one can't read. This
+    # version must not overwrite them, or old and new VMs would undo each other's
+    # writes.
     broken = config.Document(9, "x", "x", 1, "servce desk  # typo\n", "", ())
-    kept.keeper.store_read(NOW_MS, config.encode(broken))
-    assert kept.keeper.sequence == 5
-    assert kept.taken(message.RepairStore) == []
+    local.keeper.store_read(NOW_MS, config.encode(broken))
+    assert local.keeper.sequence == 5
+    assert local.taken(message.RepairStore) == []
 
 
-def test_deleted_rules_are_put_back(kept: Kept) -> None:
-    kept.keeper.store_read(NOW_MS, None)
-    assert [item.sequence for item in kept.taken(message.RepairStore)] == [5]
+def test_deleted_rules_are_written_back(local: LocalConfig) -> None:
+    local.keeper.store_read(NOW_MS, None)
+    assert [item.sequence for item in local.taken(message.RepairStore)] == [5]
 
 
-def test_other_content_under_the_sequence_in_force_does_not_win(kept: Kept) -> None:
-    # The store is restored to sequence 4, and before a watcher has repaired it
-    # an operator's change is accepted as sequence 5 once more. The VMs would
-    # refuse it for ever, new VMs would take it, and the fleet would be divided.
-    kept.keeper.store_read(NOW_MS, kept.value(5, "ben"))
-    assert kept.keeper.sequence == 5
-    actions = kept.outbox.take()
+def test_other_document_with_the_sequence_in_force_is_overridden(
+    local: LocalConfig,
+) -> None:
+    # The store is restored to sequence 4, and before a watching VM has repaired it
+    # an operator's change is accepted as a second sequence 5. Running VMs would
+    # refuse it for ever, new VMs would accept it, and the fleet would be divided.
+    local.keeper.store_read(NOW_MS, local.value(5, "ben"))
+    assert local.keeper.sequence == 5
+    actions = local.outbox.take()
     repairs = [item for item in actions if isinstance(item, message.RepairStore)]
     assert [item.sequence for item in repairs] == [6]
     repaired = config.decode(repairs[0].value)
     assert (repaired.sequence, repaired.author) == (6, "ann")
-    kept.keeper.store_read(NOW_MS, repairs[0].value)
-    assert kept.keeper.sequence == 6
+    local.keeper.store_read(NOW_MS, repairs[0].value)
+    assert local.keeper.sequence == 6
 
 
-def test_same_document_in_other_bytes_is_no_conflict(kept: Kept) -> None:
-    again = config.encode(config.decode(kept.value(5)))
-    kept.keeper.store_read(NOW_MS, again)
-    assert kept.taken(message.RepairStore) == []
+def test_same_document_in_another_encoding_is_not_repaired(local: LocalConfig) -> None:
+    again = config.encode(config.decode(local.value(5)))
+    local.keeper.store_read(NOW_MS, again)
+    assert local.taken(message.RepairStore) == []
 
 
-def test_another_vm_is_asked_when_the_first_does_not_send(kept: Kept) -> None:
-    # The VM that announced the change dies before it sends it, or the link to
-    # it is lost. Who hears of the change from another must ask that one.
-    kept.keeper.request_if_newer(NOW_MS, "vm2", 6)
-    kept.keeper.request_if_newer(NOW_MS + 100, "vm3", 6)
-    kept.keeper.request_if_newer(NOW_MS + 300, "vm4", 6)
-    asked = [item.receiver for item in kept.taken(message.SendLink)]
+def test_document_is_requested_from_another_vm_when_the_first_is_silent(
+    local: LocalConfig,
+) -> None:
+    # The VM that announced a change dies before it sends the document, or the link
+    # to it is lost. A VM must then request it from the next VM that announces it.
+    local.keeper.request_if_newer(NOW_MS, "vm2", 6)
+    local.keeper.request_if_newer(NOW_MS + 100, "vm3", 6)
+    local.keeper.request_if_newer(NOW_MS + 300, "vm4", 6)
+    asked = [item.receiver for item in local.taken(message.SendLink)]
     assert asked == ["vm2", "vm4"]
 
 
-def test_document_is_sent_only_to_who_lacks_it(kept: Kept) -> None:
-    kept.keeper.send_if_newer("vm2", wire.ConfigRequest(5))
-    kept.keeper.send_if_newer("vm3", wire.ConfigRequest(4))
-    assert [item.receiver for item in kept.taken(message.SendLink)] == ["vm3"]
+def test_document_is_sent_only_to_a_vm_with_an_older_one(local: LocalConfig) -> None:
+    local.keeper.send_if_newer("vm2", wire.ConfigRequest(5))
+    local.keeper.send_if_newer("vm3", wire.ConfigRequest(4))
+    assert [item.receiver for item in local.taken(message.SendLink)] == ["vm3"]
 
 
-def watchers(kept: Kept, state: member.MemberState, since_ms: int) -> int:
+def watchers(local: LocalConfig, state: member.MemberState, since_ms: int) -> int:
     """Return how many of eight VMs in one state watch the store."""
     fleet = [
         item._replace(state=state)
-        for item in (kept.me, *kept.others, kept.vm("vm9", 9))
+        for item in (local.me, *local.others, local.vm("vm9", 9))
     ]
     count = 0
     for me in fleet:
-        own = keeper.ConfigSync(me.name, kept.peers, kept.outbox)
+        own = keeper.ConfigSync(me.name, local.peers, local.outbox)
         own.tick(NOW_MS, me, [me], {})
         own.tick(NOW_MS + since_ms, me, fleet, {})
         count += own.watching
@@ -147,28 +156,35 @@
 
 
 @pytest.mark.parametrize("state", list(member.SERVING) + [member.MemberState.JOINING])
-def test_two_vms_of_a_zone_watch(kept: Kept, state: member.MemberState) -> None:
-    # All VMs start at once after a loss of power. Did each one watch until one
-    # serves, the platform would get as many calls as there are VMs.
-    assert watchers(kept, state, keeper.PEER_DISCOVERY_MS) == keeper.WATCHERS_PER_ZONE
-
-
-def test_starting_vm_waits_to_hear_of_others_before_it_watches(kept: Kept) -> None:
-    own = keeper.ConfigSync("me", kept.peers, kept.outbox)
-    joining = kept.me._replace(state=member.MemberState.JOINING)
+def test_exactly_two_vms_of_a_zone_watch(
+    local: LocalConfig, state: member.MemberState
+) -> None:
+    # All VMs start at the same time after a power failure. If each one watched
+    # until one serves, the platform would get as many calls as there are VMs.
+    assert watchers(local, state, keeper.PEER_DISCOVERY_MS) == keeper.WATCHERS_PER_ZONE
+
+
+def test_starting_vm_watches_only_after_the_peer_discovery_time(
+    local: LocalConfig,
+) -> None:
+    own = keeper.ConfigSync("me", local.peers, local.outbox)
+    joining = local.me._replace(state=member.MemberState.JOINING)
     own.tick(NOW_MS, joining, [joining], {})
     assert not own.watching
     own.tick(NOW_MS + keeper.PEER_DISCOVERY_MS, joining, [joining], {})
     assert own.watching
 
 
-def test_starting_vm_does_not_report_at_once(kept: Kept) -> None:
-    # All VMs start at once, and each takes itself for the first of its zone.
-    own = keeper.ConfigSync("me", kept.peers, kept.outbox)
-    own.tick(NOW_MS, kept.me, [kept.me], {})
-    own.offer(NOW_MS, kept.value(5), "store")
-    own.tick(NOW_MS + 1000, kept.me, [kept.me], {})
-    assert kept.taken(message.ReportInForce) == []
-    own.offer(NOW_MS + 1000, kept.value(6), "store")
-    own.tick(NOW_MS + 1000 + keeper.REPORT_AFTER_CHANGE_MS, kept.me, [kept.me], {})
-    assert len(kept.taken(message.ReportInForce)) == 1
+def test_starting_vm_does_not_report_its_first_configuration_at_once(
+    local: LocalConfig,
+) -> None:
+    # All VMs start at the same time, and each has only itself as a member of its
+    # zone. If each reported at once, the platform would get a call from every VM.
+    own = keeper.ConfigSync("me", local.peers, local.outbox)
+    own.tick(NOW_MS, local.me, [local.me], {})
+    own.offer(NOW_MS, local.value(5), "store")
+    own.tick(NOW_MS + 1000, local.me, [local.me], {})
+    assert local.taken(message.ReportInForce) == []
+    own.offer(NOW_MS + 1000, local.value(6), "store")
+    own.tick(NOW_MS + 1000 + keeper.REPORT_AFTER_CHANGE_MS, local.me, [local.me], {})
+    assert len(local.taken(message.ReportInForce)) == 1
--- a/tests/test_turn.py
+++ b/tests/test_turn.py
@@ -1,22 +1,22 @@
-"""Whose turn it is."""
+"""Round-robin selection in shuffled rounds."""
 
 import random
 
 from eelgrasswick.fleet import turn
 
 
-def test_each_has_a_turn_in_each_round() -> None:
-    turns = turn.ShuffledRoundRobin(random.Random(1))
+def test_each_name_is_selected_once_per_round() -> None:
+    order = turn.ShuffledRoundRobin(random.Random(1))
     names = ["a", "b", "c"]
     for _ in range(5):
-        assert {turns.next(names) for _ in names} == set(names)
+        assert {order.next(names) for _ in names} == set(names)
 
 
-def test_who_is_gone_is_passed_over() -> None:
-    turns = turn.ShuffledRoundRobin(random.Random(1))
-    turns.next(["a", "b", "c"])
-    assert [turns.next(["b"]) for _ in range(3)] == ["b", "b", "b"]
+def test_removed_name_is_skipped() -> None:
+    order = turn.ShuffledRoundRobin(random.Random(1))
+    order.next(["a", "b", "c"])
+    assert [order.next(["b"]) for _ in range(3)] == ["b", "b", "b"]
 
 
-def test_nobody_has_a_turn_among_none() -> None:
+def test_empty_collection_gives_none() -> None:
     assert turn.ShuffledRoundRobin(random.Random(1)).next([]) is None
