--- a/eelgrasswick/__init__.py
+++ b/eelgrasswick/__init__.py
@@ -1,1 +1,1 @@
-"""A layer-4 load balancer fleet that keeps every open flow whole."""
+"""A fleet of layer-4 load balancers that keeps each open flow on its target."""
--- a/eelgrasswick/_line.py
+++ b/eelgrasswick/_line.py
@@ -1,24 +1,24 @@
-"""Takes the words of one line of the rules file in turn."""
+"""Parser for the words and options of one line of the rules file."""
 
 import re
 import typing
 
 from eelgrasswick import packet
 
-NAME: typing.Final = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
-WORD: typing.Final = re.compile(r"\S+")
+NAME_PATTERN: typing.Final = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
+WORD_PATTERN: typing.Final = re.compile(r"\S+")
 MAX_DIGITS: typing.Final = 12
 
 
 class Word(typing.NamedTuple):
-    """One word and its column, from 1."""
+    """One word and its column, counted from 1."""
 
     text: str
     column: int
 
 
 class LineError(Exception):
-    """What is wrong with a line, where, and how to mend it."""
+    """A fault in a line, with its column and a remedy."""
 
     def __init__(self, column: int, problem: str, remedy: str) -> None:
         super().__init__(problem)
@@ -28,7 +28,7 @@
 
 
 class Reader:
-    """Takes the words of one line in turn and reports what is wrong."""
+    """Consumes the words of one line in order and raises ``LineError`` for faults."""
 
     def __init__(self, words: list[Word], end_column: int) -> None:
         self._words = words
@@ -36,20 +36,20 @@
         self._options: dict[str, Word] = {}
 
     def word(self, meaning: str) -> Word:
-        """Take the next word that is no option."""
+        """Consume the next word, which must not be an option."""
         if not self._words or "=" in self._words[0].text:
             column = self._words[0].column if self._words else self._end_column
             raise LineError(column, f"{meaning} is missing", f"add the {meaning}")
         return self._words.pop(0)
 
     def name(self, meaning: str) -> str:
-        """Take the next word, which must be a name."""
+        """Consume the next word, which must be a name."""
         word = self.word(meaning)
         check_name(word, meaning)
         return word.text
 
     def address(self, meaning: str) -> packet.Address:
-        """Take the next word, which must be an address."""
+        """Consume the next word, which must be an address."""
         word = self.word(meaning)
         try:
             return packet.address(word.text)
@@ -59,7 +59,7 @@
             ) from error
 
     def options(self, *known: str) -> None:
-        """Take the rest of the line, which must be known ``key=value`` pairs."""
+        """Consume the rest of the line, which must be known ``key=value`` pairs."""
         for word in self._words:
             key, separator, value = word.text.partition("=")
             if not separator or key not in known:
@@ -73,11 +73,11 @@
             self._options[key] = Word(value, word.column + len(key) + 1)
 
     def option(self, key: str) -> Word | None:
-        """Return an option's value, if it is there."""
+        """Return the value of an option, or None when it is absent."""
         return self._options.get(key)
 
     def required(self, key: str) -> Word:
-        """Return the value of an option that must be there."""
+        """Return the value of a mandatory option."""
         word = self._options.get(key)
         if word is None:
             raise LineError(self._end_column, f"{key}= is missing", f"add {key}=")
@@ -99,8 +99,8 @@
 
 
 def check_name(word: Word, meaning: str) -> None:
-    """Refuse a word that is no name."""
-    if not NAME.fullmatch(word.text):
+    """Raise ``LineError`` for a word that is not a valid name."""
+    if not NAME_PATTERN.fullmatch(word.text):
         raise LineError(
             word.column,
             f"{word.text!r} is no {meaning}",
--- a/eelgrasswick/compose.py
+++ b/eelgrasswick/compose.py
@@ -1,4 +1,4 @@
-"""The composition root: the one place where the parts are put together."""
+"""The composition root, which constructs and connects the parts of an entry VM."""
 
 import random
 import time
@@ -17,7 +17,7 @@
 
 
 def entry_engine(settings: setting.Settings, rng: random.Random) -> engine.Engine:
-    """Return the engine of an entry VM, in state JOINING."""
+    """Return the engine of an entry VM in state JOINING."""
     vm = settings.vm
     me = member.Member(
         vm.name,
@@ -35,7 +35,7 @@
 
 
 def entry_daemon(reactor: typing.Any, settings: setting.Settings) -> daemon.Daemon:
-    """Return the daemon of an entry VM, ready to start."""
+    """Return the daemon of an entry VM, not yet started."""
     rng = random.Random()
     platform = gateway.Gateway(
         reactor, settings.platform.url, settings.platform.timeout_ms
--- a/eelgrasswick/node.py
+++ b/eelgrasswick/node.py
@@ -1,7 +1,7 @@
-"""An entry VM as the command ``load`` runs it: its home and nothing else.
+"""A simulated entry VM of the command ``load``, reduced to its home.
 
-The home, the opener and the decisions are those of the product; only the way
-of a packet to its home and the heartbeats are left out.
+The home, the opener and the decisions are those of the product. Only the
+forwarding of packets to their home and the heartbeats are left out.
 """
 
 import typing
@@ -33,32 +33,32 @@
     tables,
 )
 
-_WINDOW_MS: typing.Final = 5000
-_HINT_MS: typing.Final = 10_000
-_HINTS: typing.Final = 1000
+_EPOCH_WINDOW_MS: typing.Final = 5000
+_HINT_TTL_MS: typing.Final = 10_000
+_MAX_HINTS: typing.Final = 1000
 
 
 def epoch_of(
     current: config.Config, members: typing.Iterable[member.Member]
 ) -> epoch.Epoch:
-    """Return the epoch of a VM that sees these members."""
+    """Return the epoch of a VM that has these members."""
     return epoch.Epoch(current, members)
 
 
 class Node:
-    """One entry VM.
+    """One simulated entry VM.
 
     Attributes:
-        vm: Its place and size.
-        me: How other VMs know it.
-        alive: False after it went down.
-        cut: True while it reaches no other VM.
+        vm: Its name, zone and size in the scenario.
+        me: The member record that other VMs have of it.
+        alive: False after it has failed.
+        cut: True while it can reach no other VM.
     """
 
     def __init__(
         self, vm: scenario.Vm, number: int, policy: placement.Placement
     ) -> None:
-        """Build a VM that knows no configuration yet."""
+        """Create a VM without a configuration."""
         self.vm = vm
         self.alive = True
         self.cut = False
@@ -75,9 +75,9 @@
         self.outbox = message.Outbox()
         self.peers = peer.Peers(self.outbox)
         self.tables = tables.Tables(
-            epoch.EpochLog(_WINDOW_MS),
+            epoch.EpochLog(_EPOCH_WINDOW_MS),
             flow.FlowTable(),
-            hint.HintTable(_HINT_MS, _HINTS),
+            hint.HintTable(_HINT_TTL_MS, _MAX_HINTS),
             load.LoadBook(),
             health.HealthBook(),
             replica.Replicator(self.peers, self.outbox),
@@ -89,7 +89,7 @@
         self._switch = switch.Switch(vm.name, packet.FouCodec(), self.tables, self.home)
 
     def tick(self, now_ms: int) -> list[message.Action]:
-        """Let time pass."""
+        """Process the passing of time and return the actions due."""
         self.home.tick(now_ms)
         self.tables.replicator.flush()
         self.tables.loads.expire(now_ms)
@@ -97,14 +97,14 @@
         return self.outbox.take()
 
     def load_report(self, now_ms: int) -> wire.LoadReport:
-        """Return what this home tells the others once a second."""
+        """Return the load report that this home sends to the others once a second."""
         recent = self.opener.chooser.work.recent_tenths(now_ms)
         return load.report(self.tables.flows.open_by_target, recent)
 
     def receive_peer_message(
         self, now_ms: int, sender: str, payload: bytes
     ) -> list[message.Action]:
-        """Take an inquiry about a flow, or the answer to one."""
+        """Process a request about a flow's target, or the response to one."""
         item = wire.decode(payload)
         if isinstance(item, wire.FlowTargetRequest):
             self._switch.ask(now_ms, sender, item)
--- a/eelgrasswick/picture.py
+++ b/eelgrasswick/picture.py
@@ -1,20 +1,21 @@
-"""A picture of service over time: how requests ended, and what went wrong when."""
+"""A chart of request outcomes over time, with marks at the times of faults."""
 
 import pathlib
 import typing
 
-# How wide a mark is that has no length, and over how many lines labels are spread.
+# A mark shorter than this width would not be visible.
 MIN_MARK_WIDTH_S: typing.Final = 0.02
+# Labels are distributed over this number of rows, so that they don't overlap.
 LABEL_ROWS: typing.Final = 16
 
 
 class Series(typing.NamedTuple):
-    """Requests that ended in one way.
+    """Counts of the requests with one outcome.
 
     Attributes:
-        label: The way.
-        color: How it is drawn.
-        counts: By bin, from the start on.
+        label: Name of the outcome.
+        color: Color of its bars.
+        counts: Number of requests for each bin, from the start of the run.
     """
 
     label: str
@@ -23,12 +24,12 @@
 
 
 class Mark(typing.NamedTuple):
-    """Something that went wrong.
+    """A fault or another event that is marked in the chart.
 
     Attributes:
-        label: What; empty for none.
-        at_s: When it began.
-        until_s: When it was over.
+        label: Text of the mark; empty for none.
+        at_s: Start, in seconds from the start of the run.
+        until_s: End, in seconds from the start of the run.
     """
 
     label: str
@@ -43,40 +44,41 @@
     parts: typing.Sequence[Series],
     marks: typing.Iterable[Mark],
 ) -> None:
-    """Write a picture of stacked counts with marks.
+    """Write a stacked bar chart with marks.
 
     Args:
-        path: Where it goes; its ending tells the format.
-        title: What stands above it.
+        path: Output file; the suffix selects the format.
+        title: Title above the chart.
         bin_s: Width of a bin in seconds.
-        parts: What is stacked, all of one length.
-        marks: What is marked.
+        parts: Series to stack, all of the same length.
+        marks: Faults to mark.
     """
-    # Imported here: only developers have the library, and few runs need it.
+    # matplotlib is imported here because only developers have it installed, and
+    # few runs draw a chart.
     from matplotlib import figure
 
-    made = figure.Figure(figsize=(10, 4), layout="constrained")
-    axes = made.add_subplot()
-    below = [0] * len(parts[0].counts)
-    at_s = [number * bin_s for number in range(len(below))]
+    chart = figure.Figure(figsize=(10, 4), layout="constrained")
+    axes = chart.add_subplot()
+    bottoms = [0] * len(parts[0].counts)
+    at_s = [index * bin_s for index in range(len(bottoms))]
     for item in parts:
         axes.bar(
             at_s,
             item.counts,
             bin_s,
-            below,
+            bottoms,
             color=item.color,
             label=item.label,
             align="edge",
         )
-        below = [sum(pair) for pair in zip(below, item.counts, strict=True)]
-    for number, mark in enumerate(marks):
+        bottoms = [sum(pair) for pair in zip(bottoms, item.counts, strict=True)]
+    for index, mark in enumerate(marks):
         end_s = max(mark.until_s, mark.at_s + MIN_MARK_WIDTH_S)
         axes.axvspan(mark.at_s, end_s, color="black", alpha=0.08, zorder=0)
-        # One above the other, as several things may go wrong at once.
-        height = number % LABEL_ROWS / LABEL_ROWS
-        place = axes.get_xaxis_transform()
-        axes.text(mark.at_s, height, mark.label, fontsize=7, transform=place)
+        # Labels are stacked because several faults may overlap in time.
+        height = index % LABEL_ROWS / LABEL_ROWS
+        transform = axes.get_xaxis_transform()
+        axes.text(mark.at_s, height, mark.label, fontsize=7, transform=transform)
     axes.set(title=title, xlabel="seconds", ylabel=f"requests in {bin_s} s")
     axes.legend(loc="upper right")
-    made.savefig(path)
+    chart.savefig(path)
--- a/eelgrasswick/rule.py
+++ b/eelgrasswick/rule.py
@@ -263,7 +263,7 @@
     body, mark, comment = line.partition("#")
     words = [
         _line.Word(found.group(), found.start() + 1)
-        for found in _line.WORD.finditer(body)
+        for found in _line.WORD_PATTERN.finditer(body)
     ]
     if not words:
         return None
--- a/eelgrasswick/service.py
+++ b/eelgrasswick/service.py
@@ -1,4 +1,4 @@
-"""A service: an address that callers open flows to, and its contract."""
+"""A service: an address that callers open flows to, and its limits."""
 
 import datetime
 import typing
@@ -10,11 +10,11 @@
 
 
 class Limit(typing.NamedTuple):
-    """How many open flows a service takes over the whole fleet.
+    """Limits on the open flows of a service over the whole fleet.
 
     Attributes:
-        flows: Open flows of all callers together; 0 means no limit.
-        per_caller: Open flows of one caller address; 0 means no limit.
+        flows: Maximum open flows of all callers together; 0 for no limit.
+        per_caller: Maximum open flows of one caller address; 0 for no limit.
     """
 
     flows: int
@@ -25,7 +25,7 @@
 
 
 class ServiceKey(typing.NamedTuple):
-    """Protocol and address that together name a service on the wire."""
+    """Protocol, address and port that identify a service in packets."""
 
     protocol: int
     ip: bytes
@@ -37,15 +37,17 @@
 
     Attributes:
         name: Unique among all services.
-        address: The address callers use.
+        address: Address and port to which callers open flows.
         protocol: TCP or UDP.
-        shutdown: Last day of the service; it is served until that day ends, UTC.
-        wait_ms: Longest time a first packet may wait for a slot.
-        idle_s: Seconds of silence after which a flow is forgotten.
-        limit: Fleet-wide limits.
-        targets: All targets, the retired ones included.
-        retired: True when its line has left the rules while flows may be open.
-        reused: True when its address belonged to another service before.
+        shutdown: Last day of the service; new flows are accepted until the end
+            of that day, UTC.
+        wait_ms: Longest time that a first packet may wait for a slot.
+        idle_s: Time without packets after which a flow expires.
+        limit: Limits on open flows over the whole fleet.
+        targets: All targets, including retired ones.
+        retired: True when its line was removed from the rules while flows may
+            still be open.
+        reused: True when its address belonged to another service earlier.
     """
 
     name: str
@@ -61,9 +63,9 @@
 
     @property
     def key(self) -> ServiceKey:
-        """How packets name this service."""
+        """Key that identifies this service in packets."""
         return ServiceKey(self.protocol, self.address.ip, self.address.port)
 
     def ended(self, today: datetime.date) -> bool:
-        """Tell whether new flows are over for this service."""
+        """Return whether this service accepts no new flows any more."""
         return self.retired or today > self.shutdown
--- a/eelgrasswick/store.py
+++ b/eelgrasswick/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value store as this project uses it."""
+"""Interface of the platform's key-value store."""
 
 import abc
 import typing
@@ -14,7 +14,7 @@
 
     Attributes:
         key: Name of the key.
-        value: Its bytes, a megabyte at most.
+        value: Value of the key, at most one megabyte.
         revision: Store revision of the last write to this key.
     """
 
@@ -24,14 +24,14 @@
 
 
 class Compare(typing.NamedTuple):
-    """A condition: the key's last write has this revision; 0 for no key."""
+    """A condition on the revision of a key's last write; 0 for an absent key."""
 
     key: str
     revision: int
 
 
 class Put(typing.NamedTuple):
-    """A write; a lease of 0 means that the key stays."""
+    """A write; with a lease of 0 the key does not expire."""
 
     key: str
     value: bytes
@@ -39,7 +39,7 @@
 
 
 class Committed(typing.NamedTuple):
-    """The store's word on a transaction.
+    """The store's response to a transaction.
 
     Attributes:
         accepted: True when all conditions held and all writes were made.
@@ -56,8 +56,8 @@
 class Store(abc.ABC):
     """Compare-and-swap on revisions, leases and watches.
 
-    Every method raises ``errors.StoreError`` when the store does not answer;
-    a write may have taken effect all the same.
+    Every method raises ``errors.StoreError`` when the store does not respond. A
+    write may have taken effect nevertheless.
     """
 
     @abc.abstractmethod
@@ -66,28 +66,28 @@
 
     @abc.abstractmethod
     async def read_prefix(self, prefix: str) -> tuple[Row, ...]:
-        """Return all rows whose key begins with a prefix, by key."""
+        """Return all rows whose key begins with a prefix, sorted by key."""
 
     @abc.abstractmethod
     async def commit(
         self, compares: typing.Sequence[Compare], puts: typing.Sequence[Put]
     ) -> Committed:
-        """Make all writes if all conditions hold, or none."""
+        """Make all writes if all conditions hold, and none otherwise."""
 
     @abc.abstractmethod
     async def grant(self, ttl_s: int) -> int:
-        """Return a new lease that ends unless it is kept alive."""
+        """Return a new lease that expires unless it is kept alive."""
 
     @abc.abstractmethod
     async def keep_alive(self, lease: int) -> bool:
-        """Extend a lease; False when it has ended."""
+        """Extend a lease; return False when it has expired."""
 
     @abc.abstractmethod
     async def watch(self, prefix: str, after: int, listener: Listener) -> None:
-        """Pass on writes to keys with a prefix until the connection ends.
+        """Report writes to keys with a prefix until the connection ends.
 
         Args:
             prefix: Beginning of the keys.
-            after: Pass on writes with a revision above this one.
-            listener: Called with the rows of each change.
+            after: Writes with a revision above this one are reported.
+            listener: Called with the rows of each write.
         """
--- a/eelgrasswick/target.py
+++ b/eelgrasswick/target.py
@@ -1,4 +1,4 @@
-"""A target: one server process that does the work of a service."""
+"""A target: one back-end process that does the work of a service."""
 
 import typing
 
@@ -6,18 +6,19 @@
 
 
 class Target(typing.NamedTuple):
-    """One back end as the rules describe it.
+    """One target as the rules describe it.
 
     Attributes:
         name: Unique among all targets.
-        service: Name of the service it works for.
-        endpoint: Outer address that takes foo-over-UDP datagrams.
+        service: Name of the service that it works for.
+        endpoint: Outer address at which it receives foo-over-UDP datagrams.
         zone: Availability zone in which it runs.
-        slots: Requests it can work on at the same time.
-        connections: Open flows it can hold.
-        weight: Claimed strength relative to the other targets.
-        draining: True when it must get no new flow.
-        retired: True when its line has left the rules while flows may be open.
+        slots: Number of requests that it can process concurrently.
+        connections: Number of open flows that it can hold.
+        weight: Configured capacity relative to the other targets.
+        draining: True when no new flow may be placed on it.
+        retired: True when its line was removed from the rules while flows may
+            still be open.
     """
 
     name: str
@@ -32,5 +33,5 @@
 
     @property
     def accepts(self) -> bool:
-        """True when new flows may be placed here."""
+        """True when new flows may be placed on this target."""
         return not (self.draining or self.retired)
