--- a/eelgrasswick/daemons/watcher.py
+++ b/eelgrasswick/daemons/watcher.py
@@ -56,7 +56,7 @@
                 self.report(action)
             case message.RepairStore():
                 self.repair(action)
-            case message.RecordEmpty():
+            case message.RecordTargetEmpty():
                 self.record_empty(action)
 
     def set_active(self, active: bool) -> None:
@@ -79,10 +79,10 @@
         """Put a newer accepted document back into the store."""
         self._start(self._repair(action))
 
-    def record_empty(self, action: message.RecordEmpty) -> None:
+    def record_empty(self, action: message.RecordTargetEmpty) -> None:
         """Write to the audit trail that a target is empty."""
         if len(self._unwritten) < MAX_UNWRITTEN:
-            put = change.empty_put(action)
+            put = change.target_empty_audit_put(action)
             self._unwritten[put.key] = put
         self._start(self._write_trail())
 
@@ -184,7 +184,7 @@
         compare = store.Compare(store.RULES_KEY, revision)
         puts = (
             store.Put(store.RULES_KEY, action.value),
-            change.repair_put(config.decode(action.value)),
+            change.repaired_audit_put(config.decode(action.value)),
         )
         committed = await self._store.commit((compare,), puts)
         eliot.log_message(
--- a/eelgrasswick/homes/emptiness.py
+++ b/eelgrasswick/homes/emptiness.py
@@ -86,5 +86,7 @@
             if own and now_ms - known.empty_ms >= EMPTY_CONFIRM_MS:
                 known.recorded = True
                 self._tables.outbox.put(
-                    message.RecordEmpty(name, known.sequence, known.empty_ms, homes)
+                    message.RecordTargetEmpty(
+                        name, known.sequence, known.empty_ms, homes
+                    )
                 )
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -75,7 +75,7 @@
         self.outbox = message.Outbox()
         self.peers = peer.Peers(self.outbox)
         self.membership = membership.Membership(me, seeds, self.peers, self.outbox, rng)
-        self.keeper = keeper.Keeper(me.name, self.peers, self.outbox)
+        self.keeper = keeper.ConfigSync(me.name, self.peers, self.outbox)
         self.tables = tables.Tables(
             epoch.EpochLog(EPOCH_WINDOW_MS),
             flow.FlowTable(),
@@ -119,7 +119,7 @@
             case message.StoreRead():
                 self.keeper.store_read(now_ms, event.value)
             case message.VmsListed():
-                self.membership.listed(event.members)
+                self.membership.update_listing(event.members)
             case message.StoreFailed():
                 self.outbox.put(message.log("store_failed", detail=event.detail))
             case message.Tick():
@@ -163,12 +163,12 @@
         self, now_ms: int, source: packet.Address, item: wire.PeerMessage
     ) -> None:
         if isinstance(item, wire.Ping):
-            self.membership.ping(now_ms, source, item)
+            self.membership.receive_ping(now_ms, source, item)
             self._record_peer_sequence(now_ms, item)
             return
         sender = self.peers.name_at(source)
         if isinstance(item, wire.Ack):
-            self.membership.ack(now_ms, item)
+            self.membership.receive_ack(now_ms, item)
             self._record_peer_sequence(now_ms, item)
             return
         if sender is None:
@@ -181,19 +181,19 @@
             case wire.Relay():
                 if not self._discards_packet(now_ms):
                     self.switch.relay(now_ms, item)
-            case wire.Ask():
+            case wire.FlowTargetRequest():
                 self.switch.handle_inquiry(now_ms, sender, item)
-            case wire.Tell():
+            case wire.FlowTargetResponse():
                 self.switch.handle_inquiry_response(now_ms, sender, item)
-            case wire.PingVia():
-                self.membership.ping_via(source, item)
+            case wire.IndirectPingRequest():
+                self.membership.receive_indirect_ping(source, item)
             case _:
                 raise errors.MessageInvalidError(
                     "message must come over a link, not in a datagram"
                 )
 
     def _record_peer_sequence(self, now_ms: int, item: wire.Ping | wire.Ack) -> None:
-        self.keeper.heard(now_ms, item.sender.name, item.sequence)
+        self.keeper.request_if_newer(now_ms, item.sender.name, item.sequence)
         self.tables.epochs.note_sequence(item.sequence)
 
     def _handle_unknown_sender(
@@ -201,7 +201,7 @@
     ) -> None:
         # Operators' commands send these requests from machines that are not
         # VMs of the fleet.
-        if isinstance(item, wire.ExplainFlow | wire.ExplainTarget):
+        if isinstance(item, wire.ExplainFlowRequest | wire.ExplainTargetRequest):
             self.peers.send_to(source, self._explainer.explain(now_ms, item))
         else:
             self.outbox.count(message.Counter.PACKETS_UNKNOWN_SENDER)
@@ -214,10 +214,10 @@
 
     def _link_message(self, now_ms: int, sender: str, item: wire.PeerMessage) -> None:
         match item:
-            case wire.Keep():
+            case wire.BackupExceptions():
                 if not self._discards_packet(now_ms):
                     self._store_copies(now_ms, item)
-            case wire.Forget():
+            case wire.DiscardExceptions():
                 for packed in item.flows:
                     self.tables.replicator.copies.remove(wire.flow_key(packed))
             case wire.Handover():
@@ -225,10 +225,10 @@
                     self._handover(now_ms, item)
             case wire.LoadReport():
                 self.tables.loads.record(now_ms, sender, item)
-            case wire.ConfigOffer():
+            case wire.ConfigResponse():
                 self.keeper.offer(now_ms, item.value, sender)
-            case wire.ConfigWant():
-                self.keeper.want(sender, item)
+            case wire.ConfigRequest():
+                self.keeper.send_if_newer(sender, item)
             case _:
                 raise errors.MessageInvalidError(
                     "message must come in a datagram, not over a link"
@@ -245,7 +245,7 @@
             )
         )
 
-    def _store_copies(self, now_ms: int, item: wire.Keep) -> None:
+    def _store_copies(self, now_ms: int, item: wire.BackupExceptions) -> None:
         for entry in item.entries:
             known = self._target(entry.target)
             if known is not None:
@@ -321,7 +321,7 @@
         self.membership.changed = False
         self.keeper.changed = False
         self.membership.sequence = self.keeper.sequence
-        self.peers.learn(self.membership.members)
+        self.peers.set_members(self.membership.members)
         if self.keeper.current is not None:
             self._begin_epoch(now_ms, self.keeper.current)
         if announce:
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -51,7 +51,10 @@
     """Collects the facts that one VM has about a flow or a target."""
 
     def __init__(
-        self, shared: tables.Tables, kept: keeper.Keeper, fleet: membership.Membership
+        self,
+        shared: tables.Tables,
+        kept: keeper.ConfigSync,
+        fleet: membership.Membership,
     ) -> None:
         """Create an explainer that reads the parts of an engine."""
         self._tables = shared
@@ -59,8 +62,8 @@
         self._fleet = fleet
 
     def explain(
-        self, now_ms: int, asked: wire.ExplainFlow | wire.ExplainTarget
-    ) -> wire.Explained:
+        self, now_ms: int, asked: wire.ExplainFlowRequest | wire.ExplainTargetRequest
+    ) -> wire.ExplainResponse:
         """Respond to an operator's request to explain a flow or a target.
 
         Args:
@@ -78,11 +81,11 @@
             "state": self._fleet.me.state.name.lower(),
             "sequence": str(self._keeper.sequence),
         }
-        if isinstance(asked, wire.ExplainFlow):
+        if isinstance(asked, wire.ExplainFlowRequest):
             facts.update(self._flow(now_ms, wire.flow_key(asked.flow)))
         else:
             facts.update(self._target(now_ms, asked.target))
-        return wire.Explained(tuple(wire.Fact(*item) for item in facts.items()))
+        return wire.ExplainResponse(tuple(wire.Fact(*item) for item in facts.items()))
 
     def _flow(self, now_ms: int, key: packet.FlowKey) -> dict[str, str]:
         facts = {"flow": str(key)}
--- a/eelgrasswick/homes/inquiry.py
+++ b/eelgrasswick/homes/inquiry.py
@@ -122,7 +122,7 @@
             return
         self._open[key] = _Open(now_ms + RESPONSE_TIMEOUT_MS, set(names), item)
         for name in names:
-            self._peers.send(name, wire.Ask(key.packed))
+            self._peers.send(name, wire.FlowTargetRequest(key.packed))
 
     def record_response(
         self, sender: str, key: packet.FlowKey, name: str
--- a/eelgrasswick/homes/replica.py
+++ b/eelgrasswick/homes/replica.py
@@ -78,11 +78,11 @@
         """
         budget = BATCHES_PER_TICK
         budget = self._flush_placed(self._handovers, wire.Handover, budget)
-        budget = self._flush_placed(self._copies_to_send, wire.Keep, budget)
+        budget = self._flush_placed(self._copies_to_send, wire.BackupExceptions, budget)
         while budget and self._removals:
             receiver, flows = next(iter(self._removals.items()))
             batch = tuple(flows)[:BATCH_FLOWS]
-            self._peers.send_link(receiver, wire.Forget(batch))
+            self._peers.send_link(receiver, wire.DiscardExceptions(batch))
             flows.difference_update(batch)
             if not flows:
                 del self._removals[receiver]
@@ -91,13 +91,13 @@
     def _flush_placed(
         self,
         waiting: dict[str, dict[bytes, str]],
-        kind: type[wire.Keep] | type[wire.Handover],
+        kind: type[wire.BackupExceptions] | type[wire.Handover],
         budget: int,
     ) -> int:
         while budget and waiting:
             receiver, flows = next(iter(waiting.items()))
             batch = tuple(
-                wire.Placed(*item) for item in list(flows.items())[:BATCH_FLOWS]
+                wire.FlowPlacement(*item) for item in list(flows.items())[:BATCH_FLOWS]
             )
             self._peers.send_link(receiver, kind(batch))
             for entry in batch:
--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -78,7 +78,7 @@
             return
         self._handle_target_control(now_ms, item, sender, event.hops)
 
-    def handle_inquiry(self, now_ms: int, sender: str, event: wire.Ask) -> None:
+    def handle_inquiry(self, now_ms: int, sender: str, event: wire.FlowTargetRequest) -> None:
         """Respond to the present home of a flow about the flow's target.
 
         This VM may have a record, a hint or a copy of the flow from an earlier
@@ -90,7 +90,7 @@
         if known is None and not self._home.delegate_to(now_ms, key, sender):
             return
         name = known.name if known is not None else ""
-        self._tables.peers.send(sender, wire.Tell(event.flow, name))
+        self._tables.peers.send(sender, wire.FlowTargetResponse(event.flow, name))
 
     def handle_inquiry_response(
         self, now_ms: int, sender: str, event: wire.Tell
--- a/eelgrasswick/trials/capacity_table.py
+++ b/eelgrasswick/trials/capacity_table.py
@@ -195,7 +195,7 @@
     def news(size: Size) -> float:
         events = size.restarts_per_day * NEWS_PER_RESTART
         events += size.failures_per_day * NEWS_PER_FAILURE
-        sends = gossip.SPREAD_FACTOR * int(size.vms + 2).bit_length()
+        sends = gossip.RETRANSMIT_FACTOR * int(size.vms + 2).bit_length()
         return events / DAY_S * sends * slopes.news_bytes
 
     def cpu(size: Size) -> float:
@@ -320,7 +320,7 @@
 
 def _platform_costs(slopes: Slopes) -> list[Cost]:
     def reports(size: Size) -> float:
-        regular = size.zones * 1000 / keeper.REPORT_MS
+        regular = size.zones * 1000 / keeper.REPORT_INTERVAL_MS
         changed = size.zones * size.changes_per_day / DAY_S
         return (regular + changed) * CALLS_PER_REPORT
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -15,7 +15,9 @@
 
 
 def asked(
-    fleet_world: world.World, name: str, question: wire.ExplainFlow | wire.ExplainTarget
+    fleet_world: world.World,
+    name: str,
+    question: wire.ExplainFlowRequest | wire.ExplainTargetRequest,
 ) -> dict[str, str]:
     """Return the facts in one VM's response, by key."""
     answer = fleet_world.vms[name].engine._explainer.explain(
@@ -38,7 +40,7 @@
 def test_home_gives_the_target_of_a_flow(small_world: world.World) -> None:
     """Any VM must name the home of a flow, and the home must name its target."""
     key = open_flow(small_world)
-    question = wire.ExplainFlow(key.packed)
+    question = wire.ExplainFlowRequest(key.packed)
     anywhere = asked(small_world, "vm1", question)
     home = asked(small_world, anywhere["home"], question)
     assert home["flow"] == str(key)
@@ -54,12 +56,12 @@
 ) -> None:
     """An operator must see that a target drains and how many flows it still has."""
     key = open_flow(small_world)
-    question = wire.ExplainFlow(key.packed)
+    question = wire.ExplainFlowRequest(key.packed)
     first = asked(small_world, "vm1", question)
     target = asked(small_world, first["home"], question)["record"]
     small_world.apply(rules_text + f"drain {target}  # asked by Wanjiru\n")
     small_world.run(2500)
-    facts = asked(small_world, "vm2", wire.ExplainTarget(target))
+    facts = asked(small_world, "vm2", wire.ExplainTargetRequest(target))
     assert facts["draining"] == "yes"
     assert int(facts["open_here"]) + int(facts["open_elsewhere"]) == 1
     assert "a drain rule; 1 open flows stay" in facts["reason"]
@@ -76,7 +78,7 @@
     small_world: world.World, text: str, reason: str
 ) -> None:
     """A flow without a rule or a record must be explained and not be an error."""
-    question = wire.ExplainFlow(explain.parse_flow(text).packed)
+    question = wire.ExplainFlowRequest(explain.parse_flow(text).packed)
     facts = asked(small_world, "vm1", question)
     if "home" in facts:
         facts = asked(small_world, facts["home"], question)
@@ -85,7 +87,7 @@
 
 def test_unknown_target_gets_a_reason(small_world: world.World) -> None:
     """A target without a rule must be explained and not be an error."""
-    facts = asked(small_world, "vm1", wire.ExplainTarget("nobody"))
+    facts = asked(small_world, "vm1", wire.ExplainTargetRequest("nobody"))
     assert facts["reason"] == "no rule has this target"
 
 
