--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -78,7 +78,9 @@
             return
         self._handle_target_control(now_ms, item, sender, event.hops)
 
-    def handle_inquiry(self, now_ms: int, sender: str, event: wire.FlowTargetRequest) -> None:
+    def handle_inquiry(
+        self, now_ms: int, sender: str, event: wire.FlowTargetRequest
+    ) -> None:
         """Respond to the present home of a flow about the flow's target.
 
         This VM may have a record, a hint or a copy of the flow from an earlier
@@ -93,7 +95,7 @@
         self._tables.peers.send(sender, wire.FlowTargetResponse(event.flow, name))
 
     def handle_inquiry_response(
-        self, now_ms: int, sender: str, event: wire.Tell
+        self, now_ms: int, sender: str, event: wire.FlowTargetResponse
     ) -> None:
         """Handle the response of a former home to an inquiry of this VM."""
         key = wire.flow_key(event.flow)
--- a/tests/test_opener.py
+++ b/tests/test_opener.py
@@ -88,7 +88,9 @@
     """
     vm, key = waiting_flow(slow_world)
     other = next(name for name in slow_world.vms if name != vm.me.name)
-    vm.engine.switch.handle_inquiry(slow_world.now_ms, other, wire.FlowTargetRequest(key.packed))
+    vm.engine.switch.handle_inquiry(
+        slow_world.now_ms, other, wire.FlowTargetRequest(key.packed)
+    )
     vm.engine.outbox.take()
     vm.engine.opener.tick(slow_world.now_ms + 1000)
     logs = [
