--- a/eelgrasswick/_line.py
+++ b/eelgrasswick/_line.py
@@ -65,11 +65,13 @@
             if not separator or key not in known:
                 raise LineError(
                     word.column,
-                    f"{word.text!r} is not known here",
+                    f"{word.text!r} is not a known option here",
                     f"use only {', '.join(known) or 'the words shown in the manual'}",
                 )
             if key in self._options:
-                raise LineError(word.column, f"{key} stands twice", "keep one")
+                raise LineError(
+                    word.column, f"{key}= is given twice", "remove one of them"
+                )
             self._options[key] = Word(value, word.column + len(key) + 1)
 
     def option(self, key: str) -> Word | None:
@@ -91,7 +93,7 @@
         remedy = f"give a whole number from {low} to {high}"
         digits = word.text.isascii() and word.text.isdigit()
         if not digits or len(word.text) > MAX_DIGITS:
-            raise LineError(word.column, f"{key}={word.text!r} is no number", remedy)
+            raise LineError(word.column, f"{key}={word.text!r} is not a number", remedy)
         value = int(word.text)
         if not low <= value <= high:
             raise LineError(word.column, f"{key}={value} is out of range", remedy)
@@ -103,6 +105,6 @@
     if not NAME_PATTERN.fullmatch(word.text):
         raise LineError(
             word.column,
-            f"{word.text!r} is no {meaning}",
+            f"{word.text!r} is not a valid {meaning}",
             "use a-z, 0-9, dot, dash and underscore, at most 63",
         )
--- a/eelgrasswick/change.py
+++ b/eelgrasswick/change.py
@@ -1,4 +1,4 @@
-"""Operators' changes: from a rules text to an accepted document."""
+"""Configuration changes by operators, from a rules text to an accepted document."""
 
 import difflib
 import enum
@@ -24,7 +24,7 @@
 
 
 class Outcome(enum.Enum):
-    """How a submission ended."""
+    """Outcome of a submission."""
 
     ACCEPTED = "accepted"
     UNCHANGED = "unchanged"
@@ -34,15 +34,15 @@
 
 
 class AuditEntry(typing.NamedTuple):
-    """One submission, as the audit trail keeps it.
+    """One submission, as stored in the audit trail.
 
     Attributes:
-        sequence: The sequence it got, or would have got.
-        change_id: Its change id.
-        author: Who submitted it.
-        at_ms: When, milliseconds since 1970.
-        outcome: How it ended.
-        lines: Added and removed lines, with ``+`` or ``-`` in front.
+        sequence: The sequence that the change got, or would have got.
+        change_id: Identifier of the submission.
+        author: Name of the submitter.
+        at_ms: Time of the submission, milliseconds since 1970.
+        outcome: Value of the outcome.
+        lines: Added and removed lines, prefixed with ``+`` or ``-``.
     """
 
     sequence: int
@@ -57,7 +57,7 @@
     """A change that is ready to be submitted.
 
     Attributes:
-        before: The document it builds on; sequence 0 for none.
+        before: The document that it is based on; sequence 0 for none.
         revision: Store revision of that document; 0 for none.
         after: The document to submit.
         lines: Added and removed lines.
@@ -70,12 +70,12 @@
 
     @property
     def empty(self) -> bool:
-        """True when the rules are in force already."""
+        """True when the accepted rules are the same already."""
         return self.before.sequence > 0 and self.before.text == self.after.text
 
 
 class Result(typing.NamedTuple):
-    """The end of a submission."""
+    """Result of a submission."""
 
     outcome: Outcome
     sequence: int
@@ -87,12 +87,12 @@
     """Plans and submits changes for one author."""
 
     def __init__(self, platform: store.Store, author: str) -> None:
-        """Submit to a store in the name of ``author``."""
+        """Create an operator that submits to a store as ``author``."""
         self._store = platform
         self._author = author
 
     async def plan(self, text: str, now_ms: int) -> Plan:
-        """Work out the change from what is accepted to a rules text.
+        """Compute the change from the accepted document to a rules text.
 
         Args:
             text: The whole rules file.
@@ -102,15 +102,15 @@
             The plan.
 
         Raises:
-            errors.RulesInvalidError: The text has faults, alone or together
-                with what was accepted before.
-            errors.StoreError: The store did not answer.
+            errors.RulesInvalidError: The text has faults, by itself or in
+                combination with the accepted document.
+            errors.StoreError: The store did not respond.
         """
         rules = rule.read(text)
         row = await self._store.read(store.RULES_KEY)
         before = config.decode(row.value) if row is not None else _EMPTY
-        _check_identity(before, rules)
-        _check_vacant(before, rules, now_ms)
+        _check_names_unmoved(before, rules)
+        _check_address_reuse(before, rules, now_ms)
         after = _document(before, rules, text, self._author, now_ms)
         lines = _difference(before.text, text)
         return Plan(before, row.revision if row is not None else 0, after, lines)
@@ -119,13 +119,14 @@
         """Submit a plan by compare-and-swap.
 
         Args:
-            plan: What ``plan`` returned.
+            plan: The plan that ``plan`` returned.
 
         Returns:
-            Whether it was accepted, and the other change on a conflict.
+            The outcome; on a conflict, the change that was accepted instead.
 
         Raises:
-            errors.ChangeUnknownError: Whether it took effect can't be found out.
+            errors.ChangeUnknownError: It can't be determined whether the change
+                took effect.
         """
         if plan.empty:
             before = plan.before
@@ -138,10 +139,10 @@
             if committed.accepted:
                 return _accepted(plan)
             row = await self._store.read(store.RULES_KEY)
-            if row is None or not _same(row, plan.before):
+            if row is None or not _has_document(row, plan.before):
                 break
-            # Another operator whose answer was lost wrote the same document
-            # again. Reported as a conflict, it would be one without any line.
+            # Another operator whose response was lost has rewritten the same
+            # document. A conflict reported for that would contain no lines.
             plan = plan._replace(revision=row.revision)
         return await self._conflict(plan)
 
@@ -156,11 +157,12 @@
         return await self._store.commit((compare,), puts)
 
     async def _resolve(self, plan: Plan, cause: errors.StoreError) -> Result:
-        # The store's answer was lost, so the change may be accepted or not, and
-        # a copy of it may still be under way. Reported as failed it would
-        # surprise the operator later. Its change id shows whether it took
-        # effect; if not, writing the present document again under a new
-        # revision makes the copy under way fail its comparison for good.
+        # The store's response was lost, so the change may be accepted or not, and a
+        # copy of the write may still be in transit. If the change were reported as
+        # failed, it could take effect later, unexpected by the operator. The change
+        # id in the store shows whether it took effect. If it did not, the present
+        # document is rewritten under a new revision, so that the comparison of
+        # the write in transit can only fail.
         for _ in range(MAX_ATTEMPTS):
             try:
                 row = await self._store.read(store.RULES_KEY)
@@ -206,7 +208,7 @@
         return tuple(_entry(row) for row in rows)
 
 
-def _same(row: store.Row, before: config.Document) -> bool:
+def _has_document(row: store.Row, before: config.Document) -> bool:
     try:
         return config.decode(row.value) == before
     except errors.RulesInvalidError:
@@ -243,7 +245,7 @@
 
 
 def repaired_audit_put(document: config.Document) -> store.Put:
-    """Return the trail's entry for a document put back into the store."""
+    """Return the audit entry for a document that was written back to the store."""
     entry = AuditEntry(
         document.sequence,
         document.change_id,
@@ -257,7 +259,7 @@
 
 
 def target_empty_audit_put(item: message.RecordTargetEmpty) -> store.Put:
-    """Return the trail's entry for a target that has no open flow left."""
+    """Return the audit entry for a target that has no open flows any more."""
     entry = AuditEntry(
         item.sequence,
         "",
@@ -279,14 +281,14 @@
     )
 
 
-def _check_identity(before: config.Document, after: rule.Rules) -> None:
+def _check_names_unmoved(before: config.Document, after: rule.Rules) -> None:
     """Refuse a known name with another address, and a known target's new name.
 
-    Flows that are open go to the old address. Were the name to move, they
-    would be cut, or would reach a machine that now works for another service.
-    The same holds for names whose lines have left the rules. The lines of the
-    document may have faults, when another version wrote them; those are left
-    out, or no operator could ever replace them.
+    Open flows go to the old address. If the name moved to another address, they
+    would be cut, or would reach a machine that works for another service now.
+    The same holds for names whose lines were removed from the rules. The lines of
+    the accepted document may have faults if another version wrote them. Those
+    lines are ignored, because otherwise no operator could ever replace them.
     """
     former = rule.parse(f"{before.text}\n{before.retired}").rules
     faults = _service_faults(former, after) + _target_faults(former, after)
@@ -294,44 +296,49 @@
         raise errors.RulesInvalidError("\n".join(str(item) for item in faults))
 
 
-def _check_vacant(before: config.Document, after: rule.Rules, now_ms: int) -> None:
-    """Refuse an address or endpoint that has not been vacant for a while.
+def _check_address_reuse(
+    before: config.Document, after: rule.Rules, now_ms: int
+) -> None:
+    """Refuse an address or endpoint that another service had until recently.
 
-    VMs get a change within seconds of each other. Did an address pass from one
-    service to another in one change, those that are behind would send the new
-    service's callers to the old one's targets, which would serve them.
+    VMs put a change in force within seconds of each other. If an address passed
+    from one service to another in one change, VMs that still have the previous
+    configuration would send the new service's callers to the old service's targets,
+    which would serve them.
     """
-    settled = now_ms - before.at_ms >= ADDRESS_REUSE_DELAY_MS
+    delay_passed = now_ms - before.at_ms >= ADDRESS_REUSE_DELAY_MS
     former = rule.parse(before.text).rules
-    if settled:
-        held, served = _addresses(former)
+    if delay_passed:
+        services_by_address, services_by_endpoint = _addresses(former)
     else:
         both = rule.parse(f"{before.text}\n{before.retired}").rules
-        held, served = _addresses(both)
+        services_by_address, services_by_endpoint = _addresses(both)
     faults = []
     for item in after.services:
-        name = held.get(config.address_label(item), item.name)
+        name = services_by_address.get(config.address_label(item), item.name)
         if name != item.name:
-            faults.append(_occupied(item.line, str(item.address), name))
+            faults.append(_in_use_fault(item.line, str(item.address), name))
     for target in after.targets:
-        owner = served.get(target.endpoint, target.service)
+        owner = services_by_endpoint.get(target.endpoint, target.service)
         if owner != target.service:
-            faults.append(_occupied(target.line, str(target.endpoint), owner))
+            faults.append(_in_use_fault(target.line, str(target.endpoint), owner))
     if faults:
         raise errors.RulesInvalidError("\n".join(str(item) for item in faults))
 
 
 def _addresses(rules: rule.Rules) -> tuple[dict[str, str], dict[packet.Address, str]]:
-    held = {config.address_label(item): item.name for item in rules.services}
-    served = {item.endpoint: item.service for item in rules.targets}
-    return held, served
+    services_by_address = {
+        config.address_label(item): item.name for item in rules.services
+    }
+    services_by_endpoint = {item.endpoint: item.service for item in rules.targets}
+    return services_by_address, services_by_endpoint
 
 
-def _occupied(line: int, place: str, name: str) -> rule.Fault:
+def _in_use_fault(line: int, place: str, name: str) -> rule.Fault:
     return rule.Fault(
         line,
         1,
-        f"{place} belongs to service {name!r}, or did so until a moment ago",
+        f"{place} belongs to service {name!r}, or did so until recently",
         "remove that line first and add this one "
         f"{ADDRESS_REUSE_DELAY_MS // 1000} s later",
     )
@@ -340,7 +347,7 @@
 def _service_faults(before: rule.Rules, after: rule.Rules) -> list[rule.Fault]:
     known = {item.name: (item.address, item.protocol) for item in before.services}
     return [
-        _renamed(item.line, "service", item.name)
+        _moved_fault(item.line, "service", item.name)
         for item in after.services
         if known.get(item.name, (item.address, item.protocol))
         != (item.address, item.protocol)
@@ -354,14 +361,14 @@
     for item in after.targets:
         place = (item.endpoint, item.service)
         if known.get(item.name, place) != place:
-            faults.append(_renamed(item.line, "target", item.name))
+            faults.append(_moved_fault(item.line, "target", item.name))
         elif names.get(place, item.name) != item.name:
             problem = f"target {names[place]!r} has this endpoint already"
             faults.append(rule.Fault(item.line, 1, problem, "keep the name"))
     return faults
 
 
-def _renamed(line: int, what: str, name: str) -> rule.Fault:
+def _moved_fault(line: int, what: str, name: str) -> rule.Fault:
     return rule.Fault(
         line,
         1,
--- a/eelgrasswick/config.py
+++ b/eelgrasswick/config.py
@@ -1,4 +1,4 @@
-"""The accepted configuration: the document in the store and its compiled form."""
+"""The accepted configuration, as a stored document and in compiled form."""
 
 import base64
 import binascii
@@ -21,18 +21,18 @@
 
 
 class Document(typing.NamedTuple):
-    """What the platform's store holds under the rules key.
+    """The value that the platform's store has under the rules key.
 
     Attributes:
-        sequence: Grows by one with each accepted change; never goes back.
-        change_id: Made by the operator's command; identifies one submission.
-        author: Who submitted it.
+        sequence: Increases by one with each accepted change and never decreases.
+        change_id: Identifier of one submission, made by the operator's command.
+        author: Name of the submitter.
         at_ms: Wall-clock time of the submission, milliseconds since 1970.
         text: The rules file as submitted.
-        retired: Service and target lines that left the rules while flows may
-            still be open, in the form of the rules file.
+        retired: Service and target lines that were removed from the rules while
+            flows may still be open, in the form of the rules file.
         reused: Service addresses, as ``protocol a.b.c.d:port``, that belonged
-            to another service before.
+            to another service earlier.
     """
 
     sequence: int
@@ -45,21 +45,21 @@
 
 
 def encode(document: Document) -> bytes:
-    """Return the bytes kept in the store; they are compressed JSON."""
+    """Return the stored form of a document, which is Base64 of compressed JSON."""
     return base64.b64encode(zlib.compress(msgspec.json.encode(document), 6))
 
 
 def decode(value: bytes) -> Document:
-    """Read the bytes kept in the store.
+    """Decode a stored document.
 
     Args:
-        value: What ``encode`` returned, or anything else.
+        value: The result of ``encode``, or any other bytes.
 
     Returns:
         The document.
 
     Raises:
-        errors.RulesInvalidError: The bytes are not a document.
+        errors.RulesInvalidError: The bytes are not a valid document.
     """
     try:
         unpacker = zlib.decompressobj()
@@ -70,20 +70,22 @@
             raise errors.RulesInvalidError("document is truncated or too large")
         document = msgspec.json.decode(plain, type=Document)
     except (binascii.Error, zlib.error, msgspec.MsgspecError, ValueError) as error:
-        raise errors.RulesInvalidError(f"value is no document: {error}") from error
+        raise errors.RulesInvalidError(
+            f"value is not a configuration document: {error}"
+        ) from error
     if document.sequence < 1:
-        raise errors.RulesInvalidError("sequence is below 1")
+        raise errors.RulesInvalidError("document has a sequence below 1")
     return document
 
 
 class Config:
-    """One document, compiled for look-ups by packets.
+    """One document, compiled into look-up tables for packets.
 
     Attributes:
-        document: What it was compiled from.
-        digest: Hex digest over the encoded document.
-        services: All services by name, the retired ones included.
-        targets: All targets by name, the retired ones included.
+        document: The document that it was compiled from.
+        digest: Hexadecimal digest of the encoded document.
+        services: All services by name, including retired ones.
+        targets: All targets by name, including retired ones.
     """
 
     def __init__(self, document: Document) -> None:
@@ -93,7 +95,7 @@
             document: As read from the store or a peer.
 
         Raises:
-            errors.RulesInvalidError: Its text has faults.
+            errors.RulesInvalidError: The rules of the document have faults.
         """
         self.document = document
         self.digest = _digest(document)
@@ -110,7 +112,7 @@
 
     @property
     def zones(self) -> frozenset[str]:
-        """The zones in which targets run."""
+        """The zones that have targets."""
         return frozenset(item.zone for item in self.targets.values())
 
     def service_at(self, protocol: int, ip: bytes, port: int) -> service.Service | None:
@@ -118,11 +120,11 @@
         return self._by_key.get(service.ServiceKey(protocol, ip, port))
 
     def serves_ip(self, ip: bytes) -> bool:
-        """Tell whether any service has this IP address, on whatever port."""
+        """Return whether any service has this IP address, on any port."""
         return ip in self._service_ips
 
     def target_at(self, endpoint: packet.Address) -> target.Target | None:
-        """Return the target whose datagrams come from this outer address."""
+        """Return the target that sends datagrams from this outer address, if any."""
         return self._by_endpoint.get(endpoint)
 
 
@@ -131,16 +133,17 @@
 
 
 def _services(document: Document) -> dict[str, service.Service]:
-    # A retired target's service may still be in the rules. Read on its own, the
-    # retired part would name services without a line, and every VM would refuse
-    # a document that the store has accepted; so both parts are read together.
-    whole = rule.read(f"{document.text}\n{document.retired}")
+    # The service of a retired target may still be in the rules. If the retired
+    # lines were parsed on their own, they would refer to services without a line,
+    # and every VM would refuse a document that the store has accepted. Both parts
+    # are therefore parsed together.
+    rules = rule.read(f"{document.text}\n{document.retired}")
     last_line = document.text.count("\n") + 1
     reused = frozenset(document.reused)
-    drains = {item.target for item in whole.drains}
-    limits = {item.service: item.limit for item in whole.limits}
+    drains = {item.target for item in rules.drains}
+    limits = {item.service: item.limit for item in rules.limits}
     targets: dict[str, list[target.Target]] = {}
-    for line in whole.targets:
+    for line in rules.targets:
         retired = line.line > last_line
         built = _target(line, retired or line.name in drains, retired)
         targets.setdefault(line.service, []).append(built)
@@ -157,7 +160,7 @@
             line.line > last_line,
             address_label(line) in reused,
         )
-        for line in whole.services
+        for line in rules.services
     }
 
 
--- a/eelgrasswick/history.py
+++ b/eelgrasswick/history.py
@@ -1,8 +1,8 @@
-"""Records of concurrent runs, and checks of what must hold in every one.
+"""Histories of concurrent runs, and checkers of the invariants of every run.
 
-A harness records what callers asked and were told and what targets received
-and did, in the order of one clock. Each checker reads the whole history and
-lists what breaks its promise, so one run can be checked for all promises.
+A harness records the requests and outcomes of callers and the packets and work of
+targets, in the order of one clock. Each checker reads the whole history and lists
+the violations of its invariant, so one run can be checked for all invariants.
 """
 
 import abc
@@ -15,10 +15,10 @@
     """A caller opened a flow with one request.
 
     Attributes:
-        at_ms: When.
-        number: Request number, unique over the run.
+        at_ms: Time of the event.
+        number: Request number, unique in the run.
         flow: The flow, as ``packet.FlowKey`` prints it.
-        service: Service that had the address when the flow began.
+        service: Service that had the address when the flow was opened.
     """
 
     at_ms: int
@@ -28,17 +28,17 @@
 
 
 class Delivery(typing.NamedTuple):
-    """A packet of a flow came to a target.
+    """A packet of a flow arrived at a target.
 
     Attributes:
-        at_ms: When.
-        number: Request number of the call it belongs to. A packet can be held
-            up for longer than a caller waits to use its port again, so neither
-            the flow nor the time tells the call.
+        at_ms: Time of the event.
+        number: Request number of the call that the packet belongs to. A packet can
+            be delayed for longer than a caller waits to reuse its port, so neither
+            the flow nor the time identifies the call.
         flow: The flow.
         target: Name of the target.
         service: Service that the target works for.
-        payload_bytes: Bytes of the caller in it; 0 for a SYN or an ACK.
+        payload_bytes: Payload bytes in the packet; 0 for a SYN or an ACK.
     """
 
     at_ms: int
@@ -50,12 +50,12 @@
 
 
 class Start(typing.NamedTuple):
-    """A target began to work on a request.
+    """A target started to work on a request.
 
     Attributes:
-        at_ms: When.
+        at_ms: Time of the event.
         number: Request number.
-        flow: The flow on which it came.
+        flow: The flow of the request.
         target: Name of the target.
         service: Service that the target works for.
     """
@@ -80,11 +80,12 @@
     """A flow ended for its caller.
 
     Attributes:
-        at_ms: When.
+        at_ms: Time of the event.
         number: Request number.
-        outcome: How it ended; ``WRONG`` when an answer was not its own.
+        outcome: How the flow ended; ``WRONG`` when the answer was another
+            request's.
         target: Target named in the answer; empty without an answer.
-        detail: What a refusal said, or why the flow broke.
+        detail: Text of a refusal, or the reason why the flow broke.
     """
 
     at_ms: int
@@ -98,12 +99,12 @@
 
 
 class Violation(typing.NamedTuple):
-    """One breach of a promise.
+    """One violation of an invariant.
 
     Attributes:
-        promise: Name of the checker.
+        invariant: Name of the checker.
         subject: Request number or flow.
-        detail: What happened.
+        detail: Description of the violation.
     """
 
     invariant: str
@@ -112,10 +113,10 @@
 
 
 class History:
-    """The records of one run, in the order in which they happened."""
+    """The records of one run, in the order of their times."""
 
     def __init__(self, records: typing.Iterable[Record] = ()) -> None:
-        """Start with some records or none."""
+        """Create a history with the given records, if any."""
         self.calls: list[Call] = []
         self.deliveries: list[Delivery] = []
         self.starts: list[Start] = []
@@ -137,22 +138,22 @@
 
 
 class Checker(abc.ABC):
-    """One promise, checked over a whole history."""
+    """Checks one invariant over a whole history."""
 
     @property
     def name(self) -> str:
-        """Name of the promise in violations."""
+        """Name of the invariant in violations."""
         return type(self).__name__
 
     @abc.abstractmethod
     def check(self, run: History) -> list[Violation]:
-        """Return every breach of the promise.
+        """Return every violation of the invariant.
 
         Args:
             run: The history of one run.
 
         Returns:
-            The violations; none when the promise held.
+            The violations; none when the invariant held.
         """
 
     def _violation(self, subject: int | str, detail: str) -> Violation:
@@ -160,23 +161,23 @@
 
 
 class AtMostOnce(Checker):
-    """No request is begun twice, whether at one target or at two."""
+    """No request is started twice, at the same target or at two."""
 
     def check(self, run: History) -> list[Violation]:
         """Count the starts of each request; see the base class."""
         counts = collections.Counter(item.number for item in run.starts)
         return [
-            self._violation(number, f"begun {count} times")
+            self._violation(number, f"started {count} times")
             for number, count in counts.items()
             if count > 1
         ]
 
 
 class OneTarget(Checker):
-    """One target does the work of a flow, and the answer names it."""
+    """Only one target works on a flow, and the answer names that target."""
 
     def check(self, run: History) -> list[Violation]:
-        """Compare where a flow's work began with who answered."""
+        """Compare the targets that started work with the one in the answer."""
         targets: dict[int, set[str]] = collections.defaultdict(set)
         for item in run.starts:
             targets[item.number].add(item.target)
@@ -191,10 +192,10 @@
 
 
 class OwnWholeAnswer(Checker):
-    """A caller gets one end per call, and never another request's answer."""
+    """Each call ends at most once, and never with another request's answer."""
 
     def check(self, run: History) -> list[Violation]:
-        """Compare each end with its call and with the work; see the base class."""
+        """Compare each end with its call and the started work; see the base class."""
         calls = collections.Counter(item.number for item in run.calls)
         ends = collections.Counter(item.number for item in run.ends)
         started = {item.number for item in run.starts}
@@ -207,18 +208,18 @@
             if item.outcome is Outcome.WRONG:
                 found.append(self._violation(item.number, item.detail))
             elif item.outcome is Outcome.WHOLE and item.number not in started:
-                found.append(self._violation(item.number, "answered but never begun"))
+                found.append(self._violation(item.number, "answered but never started"))
         return found
 
 
 class RefusedNotRun(Checker):
-    """Of a flow that was refused, no target got a byte of work."""
+    """No target receives payload of a refused flow or works on it."""
 
     def check(self, run: History) -> list[Violation]:
-        """Look for starts and payload of refused calls; see the base class."""
+        """Find started work and payload of refused calls; see the base class."""
         refused = {item.number for item in run.ends if item.outcome is Outcome.REFUSED}
         found = [
-            self._violation(item.number, f"begun at {item.target}")
+            self._violation(item.number, f"started at {item.target}")
             for item in run.starts
             if item.number in refused
         ]
@@ -231,19 +232,19 @@
 
 
 class NoWrongService(Checker):
-    """No packet of a flow comes to a target of another service."""
+    """No packet of a flow arrives at a target of another service."""
 
     def check(self, run: History) -> list[Violation]:
-        """Compare each delivery with the call it belongs to."""
-        meant = {item.number: item.service for item in run.calls}
+        """Compare the service of each delivery and start with that of its call."""
+        called_service = {item.number: item.service for item in run.calls}
         arrived: list[Delivery | Start] = [*run.deliveries, *run.starts]
         return [
             self._violation(
                 item.flow,
-                f"of {meant[item.number]} at {item.target} of {item.service}",
+                f"of {called_service[item.number]} at {item.target} of {item.service}",
             )
             for item in arrived
-            if meant.get(item.number, item.service) != item.service
+            if called_service.get(item.number, item.service) != item.service
         ]
 
 
@@ -259,5 +260,5 @@
 def check(
     run: History, checkers: typing.Iterable[Checker] = CHECKERS
 ) -> list[Violation]:
-    """Return the breaches of all promises in one history."""
-    return [breach for item in checkers for breach in item.check(run)]
+    """Return the violations of all invariants in one history."""
+    return [found for item in checkers for found in item.check(run)]
--- a/eelgrasswick/message.py
+++ b/eelgrasswick/message.py
@@ -1,7 +1,7 @@
-"""What an entry VM's engine is fed and what it returns.
+"""Events that an entry VM's engine processes, and actions that it returns.
 
-The engine has no socket, clock or random source. A harness or the daemon feeds
-it events, each with the present time, and carries out the actions it returns.
+The engine has no socket, clock or random source. A harness or the daemon passes
+it events, each with the present time, and executes the actions that it returns.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class FabricDatagram(typing.NamedTuple):
-    """A datagram from the fabric or a target.
+    """A datagram received from the fabric or a target.
 
     Attributes:
         source: Outer source address.
@@ -24,17 +24,17 @@
 
 
 class PeerDatagram(typing.NamedTuple):
-    """A datagram on the port where other VMs speak."""
+    """A datagram received on the peer port."""
 
     source: packet.Address
     payload: bytes
 
 
 class LinkReceived(typing.NamedTuple):
-    """A message from another VM over a link.
+    """A message received from another VM over a link.
 
     Attributes:
-        sender: Name of the VM, as the link established it.
+        sender: Name of the VM, as established when the link was opened.
         payload: Encoded peer message.
     """
 
@@ -43,23 +43,23 @@
 
 
 class StoreRead(typing.NamedTuple):
-    """The platform answered a read or a watch.
+    """The platform responded to a read or a watch.
 
     Attributes:
-        value: The rules document, or None when the store holds none.
+        value: The encoded rules document, or None when the store has none.
     """
 
     value: bytes | None
 
 
 class VmsListed(typing.NamedTuple):
-    """The platform's lagging list of VMs."""
+    """The platform's listing of VMs, which lags behind their actual state."""
 
     members: tuple[member.Member, ...]
 
 
 class StoreFailed(typing.NamedTuple):
-    """The platform did not answer."""
+    """The platform did not respond."""
 
     detail: str
 
@@ -69,7 +69,7 @@
 
 
 class Leave(typing.NamedTuple):
-    """The operator asked this VM to stop."""
+    """The operator requested that this VM stops."""
 
 
 Event = (
@@ -109,7 +109,7 @@
 
     Attributes:
         receiver: Name of the VM.
-        destination: Where the VM takes links.
+        destination: Address at which the VM accepts links.
         payload: Encoded peer message.
     """
 
@@ -125,10 +125,10 @@
 
 
 class ReportInForce(typing.NamedTuple):
-    """Write to the platform which sequence each known VM has in force.
+    """Write to the platform which sequence each known VM of the zone has in force.
 
     Attributes:
-        sequences: VM name and sequence, for all VMs of this VM's zone.
+        sequences: Name and sequence of each VM of this VM's zone.
     """
 
     sequences: tuple["InForce", ...]
@@ -142,20 +142,20 @@
 
 
 class RepairStore(typing.NamedTuple):
-    """Put a newer accepted document back into a store that went back."""
+    """Write an accepted document back to a store that lost or replaced it."""
 
     value: bytes
     sequence: int
 
 
 class RecordTargetEmpty(typing.NamedTuple):
-    """Write to the audit trail that a target has no open flow left.
+    """Write to the audit trail that a target has no open flows any more.
 
     Attributes:
         target: Name of the target.
-        sequence: Configuration under which it was first seen to leave.
-        since_ms: When its last flow had ended, milliseconds since 1970.
-        homes: Number of VMs whose counts were at hand.
+        sequence: Configuration in which the target was first draining or retired.
+        since_ms: Time at which its last flow had ended, milliseconds since 1970.
+        homes: Number of VMs whose flow counts were available.
     """
 
     target: str
@@ -179,10 +179,10 @@
 
 
 class Stopped(typing.NamedTuple):
-    """The VM has left the fleet; the process may end."""
+    """The VM has left the fleet, and its process may end."""
 
 
-# What the task that owns the store connection carries out.
+# Actions that the task with the store connection executes.
 StoreAction = WatchStore | ReportInForce | RepairStore | RecordTargetEmpty
 
 Action = (
@@ -205,7 +205,7 @@
 
 
 class Counter(enum.Enum):
-    """Everything an entry VM counts; the metric names derive from these."""
+    """Counters of an entry VM; the metric names derive from their values."""
 
     PACKETS_REQUEST = "packets_request"
     PACKETS_ANSWER = "packets_answer"
@@ -239,10 +239,10 @@
 
 
 class Outbox:
-    """Collects the actions and counts that the engine's parts bring forth."""
+    """Collects the actions and counts that the parts of the engine produce."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty outbox."""
         self.actions: list[Action] = []
         self.counts: dict[Counter, int] = dict.fromkeys(Counter, 0)
 
@@ -255,7 +255,7 @@
         self.counts[counter] += amount
 
     def take(self) -> list[Action]:
-        """Return the collected actions and start anew."""
+        """Return the collected actions and clear the list."""
         taken = self.actions
         self.actions = []
         return taken
--- a/eelgrasswick/packet.py
+++ b/eelgrasswick/packet.py
@@ -1,7 +1,7 @@
-"""The contract for packets between the fabric, entry VMs and targets.
+"""Packets between the fabric, entry VMs and targets, and their encapsulation.
 
 A datagram carries one whole IPv4 packet as its payload, as Linux foo-over-UDP
-with ``ipproto 4`` sends and takes it. Parsing and building use dpkt.
+with ``ipproto 4`` sends and receives it. Parsing and building use dpkt.
 """
 
 import abc
@@ -14,19 +14,20 @@
 from eelgrasswick import errors
 
 MAX_PACKET_BYTES: typing.Final = 9000
+# An ICMP error quotes the IPv4 header and the first 8 bytes after it (RFC 792).
 _QUOTE_BYTES: typing.Final = 28
-_TTL_HOPS: typing.Final = 64
+_DEFAULT_TTL: typing.Final = 64
 
 
 class Protocol(enum.IntEnum):
-    """Transport protocols that are balanced, by IP protocol number."""
+    """Transport protocols that the load balancer supports, by IP protocol number."""
 
     TCP = dpkt.ip.IP_PROTO_TCP
     UDP = dpkt.ip.IP_PROTO_UDP
 
 
 class Flags(enum.IntFlag):
-    """TCP flags that matter to a balancer."""
+    """TCP flags that the load balancer evaluates."""
 
     NONE = 0
     FIN = dpkt.tcp.TH_FIN
@@ -54,9 +55,9 @@
 
 
 class FlowKey(typing.NamedTuple):
-    """What identifies a flow: the caller's and the service's address.
+    """Identity of a flow: protocol, caller address and service address.
 
-    The same key serves both directions.
+    Packets of both directions have the same key.
     """
 
     protocol: int
@@ -67,7 +68,7 @@
 
     @property
     def packed(self) -> bytes:
-        """Thirteen bytes, the input of every hash over flows."""
+        """The key in 13 bytes, the input of every hash over flows."""
         return (
             bytes((self.protocol,))
             + self.caller_ip
@@ -77,7 +78,7 @@
         )
 
     def __str__(self) -> str:
-        """Return a form that a grep can follow through the logs."""
+        """Return the form in which logs name the flow, without spaces."""
         name = "tcp" if self.protocol == Protocol.TCP else "udp"
         caller = Address(self.caller_ip, self.caller_port)
         service = Address(self.service_ip, self.service_port)
@@ -85,7 +86,7 @@
 
 
 class Packet(typing.NamedTuple):
-    """One parsed packet and its bytes as they came.
+    """One parsed packet and its bytes as received.
 
     Attributes:
         protocol: IP protocol number.
@@ -129,24 +130,24 @@
 
     @property
     def refuses_open(self) -> bool:
-        """True for the RST with which a target refuses a SYN.
+        """True for a RST with which a target refuses a SYN.
 
         RFC 9293 section 3.10.7.1: such a reset has sequence number zero and
-        acknowledges the SYN, so nothing of the flow has run at the target.
+        acknowledges the SYN, so the target has not processed any of the flow.
         """
         return self.resets and self.sequence == 0 and bool(self.flags & _ACK)
 
     def request_key(self) -> FlowKey:
-        """Return the flow when the packet travels from caller to service."""
+        """Return the flow of a packet that a caller sends to a service."""
         return FlowKey(self.protocol, *self.source, *self.destination)
 
     def answer_key(self) -> FlowKey:
-        """Return the flow when the packet travels from target to caller."""
+        """Return the flow of a packet that a target sends to a caller."""
         return FlowKey(self.protocol, *self.destination, *self.source)
 
 
 class PacketCodec(abc.ABC):
-    """Turns datagrams of one encapsulation into packets and back."""
+    """Converts between datagrams of one encapsulation and packets."""
 
     @abc.abstractmethod
     def decode(self, datagram: bytes) -> Packet:
@@ -159,7 +160,7 @@
             The parsed packet.
 
         Raises:
-            errors.PacketError: The bytes are no packet that is balanced.
+            errors.PacketError: The bytes are not a valid packet of a supported kind.
         """
 
     @abc.abstractmethod
@@ -177,7 +178,7 @@
         if not datagram:
             raise errors.PacketMalformedError("empty datagram")
         if datagram[0] >> 4 == 6:
-            raise errors.PacketUnsupportedError("IPv6 is not balanced")
+            raise errors.PacketUnsupportedError("IPv6 is not supported")
         try:
             outer = dpkt.ip.IP(datagram)
         except (dpkt.UnpackError, ValueError, IndexError) as error:
@@ -282,15 +283,16 @@
 
 
 def build_refusal(packet: Packet, kind: errors.ErrorKind, retry_after_ms: int) -> bytes:
-    """Build the packet that refuses a flow of which nothing has run.
+    """Build the packet that refuses a flow that no target has processed.
 
-    TCP gets a reset whose data says why, as RFC 1122 section 4.2.2.12 allows;
-    UDP gets an ICMP "administratively prohibited" that quotes the packet.
+    A TCP caller gets a reset whose data gives the reason, as RFC 1122 section
+    4.2.2.12 allows. A UDP caller gets an ICMP "administratively prohibited" that
+    quotes the packet.
 
     Args:
         packet: The caller's first packet.
-        kind: Why it is refused.
-        retry_after_ms: When the caller should come back, in milliseconds.
+        kind: Reason for the refusal.
+        retry_after_ms: Time after which the caller should retry.
 
     Returns:
         An IPv4 packet for the caller.
@@ -319,10 +321,10 @@
     """Return the UDP flow that an ICMP refusal quotes.
 
     Args:
-        datagram: An IPv4 packet, as ``build_refusal`` makes it.
+        datagram: An IPv4 packet, as built by ``build_refusal``.
 
     Returns:
-        The flow, or None when the packet is no such refusal.
+        The flow, or None when the packet is not such a refusal.
     """
     try:
         quoted = dpkt.ip.IP(datagram).data.data.data
@@ -336,7 +338,7 @@
 
 def _build(source: bytes, destination: bytes, protocol: int, inner: object) -> bytes:
     outer = dpkt.ip.IP(
-        src=source, dst=destination, p=protocol, ttl=_TTL_HOPS, data=inner
+        src=source, dst=destination, p=protocol, ttl=_DEFAULT_TTL, data=inner
     )
     outer.len = len(outer)
     return bytes(outer)
--- a/eelgrasswick/rule.py
+++ b/eelgrasswick/rule.py
@@ -1,6 +1,6 @@
-"""The operators' rules file: one rule a line, each with who asked for it.
+"""The operators' rules file: one rule per line, each with a comment.
 
-Four kinds of line exist::
+The comment names the person who asked for the rule. Four kinds of line exist::
 
     service NAME ADDRESS tcp|udp shutdown=DATE [wait_ms=N] [idle_s=N]  # who
     target NAME SERVICE ENDPOINT zone=Z [slots=N] [connections=N] [weight=W]  # who
@@ -22,17 +22,17 @@
 MAX_WAIT_MS: typing.Final = 900
 MIN_IDLE_S: typing.Final = 30
 MAX_LINE_BYTES: typing.Final = 1000
-CACHED_LINES: typing.Final = 32_768
+LINE_CACHE_SIZE: typing.Final = 32_768
 
 
 class Fault(typing.NamedTuple):
-    """One thing wrong with the rules text.
+    """One fault in the rules text.
 
     Attributes:
         line: Line number, from 1.
         column: Column number, from 1.
-        problem: What is wrong.
-        remedy: How to mend it.
+        problem: Description of the fault.
+        remedy: Action that corrects it.
     """
 
     line: int
@@ -98,7 +98,7 @@
 
 
 class Parsed(typing.NamedTuple):
-    """The result of reading a rules text; usable when there are no faults."""
+    """The result of parsing a rules text; the rules are valid without faults."""
 
     rules: Rules
     faults: tuple[Fault, ...]
@@ -118,7 +118,7 @@
         day = datetime.date.fromisoformat(shutdown.text)
     except ValueError as error:
         raise _line.LineError(
-            shutdown.column, f"{shutdown.text!r} is no date", "write YYYY-MM-DD"
+            shutdown.column, f"{shutdown.text!r} is not a date", "write YYYY-MM-DD"
         ) from error
     return ServiceRule(
         0,
@@ -160,7 +160,7 @@
         weight = float(word.text)
     except ValueError as error:
         raise _line.LineError(
-            word.column, f"weight={word.text!r} is no number", remedy
+            word.column, f"weight={word.text!r} is not a number", remedy
         ) from error
     if not 0.01 <= weight <= 10_000:
         raise _line.LineError(
@@ -194,13 +194,13 @@
 
 
 def parse(text: str) -> Parsed:
-    """Read a rules text and list every fault in it.
+    """Parse a rules text and list every fault in it.
 
     Args:
         text: The whole file.
 
     Returns:
-        The rules that could be read and the faults, in the order of lines.
+        The rules of the valid lines and all faults, each in the order of lines.
     """
     rules: list[Rule] = []
     faults: list[Fault] = []
@@ -211,13 +211,13 @@
         elif found is not None:
             rules.append(found._replace(line=number))
     collected = _collect(rules)
-    faults.extend(_check_together(collected))
+    faults.extend(_check_references(collected))
     faults.sort()
     return Parsed(collected, tuple(faults))
 
 
 def read(text: str) -> Rules:
-    """Read a rules text that must have no faults.
+    """Parse a rules text that must have no faults.
 
     Args:
         text: The whole file.
@@ -226,7 +226,8 @@
         The rules.
 
     Raises:
-        errors.RulesInvalidError: The text has faults; the detail lists them all.
+        errors.RulesInvalidError: The text has faults; the detail lists all of
+            them.
     """
     parsed = parse(text)
     if parsed.faults:
@@ -234,13 +235,13 @@
     return parsed.rules
 
 
-@functools.lru_cache(CACHED_LINES)
+@functools.lru_cache(LINE_CACHE_SIZE)
 def _read_line(line: str) -> Rule | Fault | None:
-    """Read one line; the result has line number 0.
+    """Parse one line; the result has line number 0.
 
-    A change of configuration leaves nearly all lines as they are, and each VM
-    reads the whole text anew. Without the cache that alone takes more of a core
-    than control may take, at thousands of changes a day.
+    A configuration change leaves nearly all lines unchanged, but each VM parses
+    the whole text again. At thousands of changes per day, parsing without the
+    cache would alone exceed the CPU budget of the control plane.
     """
     try:
         return _read_words(line)
@@ -251,11 +252,11 @@
 def _read_words(line: str) -> Rule | None:
     separated = line.splitlines()
     if len(separated) > 1:
-        # Other programs would show one line as two, and the second part would
+        # Other programs would display the line as two, and the second part would
         # look like a rule that is in force.
         raise _line.LineError(
             len(separated[0]) + 1,
-            "a character inside of the line ends a line elsewhere",
+            "the line contains a character that other programs treat as a line end",
             "remove it, or write two lines",
         )
     if len(line.encode(errors="replace")) > MAX_LINE_BYTES:
@@ -278,7 +279,7 @@
     if read_kind is None:
         raise _line.LineError(
             kind.column,
-            f"{kind.text!r} is no kind of rule",
+            f"{kind.text!r} is not a kind of rule",
             f"use {', '.join(_READERS)}",
         )
     return read_kind(_line.Reader(words, len(body.rstrip()) + 1))
@@ -293,16 +294,18 @@
     )
 
 
-def _check_together(rules: Rules) -> list[Fault]:
-    faults = _repeats(((r.line, r.name) for r in rules.services), "service name")
-    faults += _repeats(((r.line, r.name) for r in rules.targets), "target name")
-    faults += _repeats(((r.line, r.target) for r in rules.drains), "drain of target")
-    faults += _repeats(((r.line, r.service) for r in rules.limits), "limit of service")
-    faults += _repeats(
+def _check_references(rules: Rules) -> list[Fault]:
+    faults = _duplicates(((r.line, r.name) for r in rules.services), "service name")
+    faults += _duplicates(((r.line, r.name) for r in rules.targets), "target name")
+    faults += _duplicates(((r.line, r.target) for r in rules.drains), "drain of target")
+    faults += _duplicates(
+        ((r.line, r.service) for r in rules.limits), "limit of service"
+    )
+    faults += _duplicates(
         ((r.line, f"{r.protocol.name.lower()} {r.address}") for r in rules.services),
         "service address",
     )
-    faults += _repeats(
+    faults += _duplicates(
         ((r.line, str(r.endpoint)) for r in rules.targets), "target endpoint"
     )
     services = {r.name for r in rules.services}
@@ -312,19 +315,19 @@
     named += [(r.line, r.service, services, "service") for r in rules.limits]
     for line, name, known, what in named:
         if name not in known:
-            problem = f"{what} {name!r} has no line of its own"
+            problem = f"{what} {name!r} is not defined"
             faults.append(
-                Fault(line, 1, problem, f"add a {what} line or mend the name")
+                Fault(line, 1, problem, f"add a {what} line or correct the name")
             )
     return faults
 
 
-def _repeats(items: typing.Iterable[tuple[int, str]], what: str) -> list[Fault]:
+def _duplicates(items: typing.Iterable[tuple[int, str]], what: str) -> list[Fault]:
     first: dict[str, int] = {}
     faults = []
     for line, name in items:
         if name in first:
-            problem = f"{what} {name!r} stands already on line {first[name]}"
+            problem = f"{what} {name!r} is already on line {first[name]}"
             faults.append(Fault(line, 1, problem, "remove or rename one of them"))
         first.setdefault(name, line)
     return faults
--- a/eelgrasswick/wire.py
+++ b/eelgrasswick/wire.py
@@ -1,7 +1,7 @@
 """Messages between entry VMs, and their CBOR form.
 
 Each message is a CBOR array: a code, then the fields in order. Decoding checks
-the type of every field, so a part that gets a message can rely on it.
+the type of every field, so receivers of a message need no further type checks.
 """
 
 import typing
@@ -21,10 +21,10 @@
 
 
 class Forward(typing.NamedTuple):
-    """A caller's packet on its way to the flow's home.
+    """A caller's packet that is forwarded to the flow's home.
 
     Attributes:
-        hops: VMs it has passed.
+        hops: Number of VMs that the packet has passed.
         packet: The IPv4 packet.
     """
 
@@ -33,10 +33,10 @@
 
 
 class Relay(typing.NamedTuple):
-    """A target's SYN, FIN or RST on its way to the flow's home.
+    """A target's SYN, FIN or RST that is forwarded to the flow's home.
 
     Attributes:
-        hops: VMs it has passed.
+        hops: Number of VMs that the packet has passed.
         target: Name of the target that sent it.
         packet: The IPv4 packet.
     """
@@ -47,26 +47,26 @@
 
 
 class FlowTargetRequest(typing.NamedTuple):
-    """The present home asks a former one whether it knows a flow."""
+    """Request of the present home to a former one for the target of a flow."""
 
     flow: bytes
 
 
 class FlowTargetResponse(typing.NamedTuple):
-    """The answer to Ask; the target is empty when the flow is not known."""
+    """Response to FlowTargetRequest; the target is empty for an unknown flow."""
 
     flow: bytes
     target: str
 
 
 class Ping(typing.NamedTuple):
-    """A heartbeat that asks for an Ack.
+    """A heartbeat that requests an Ack.
 
     Attributes:
         number: Matches the Ack to the Ping.
-        sender: The sender as it sees itself.
+        sender: The sender's record of itself.
         sequence: Configuration in force at the sender; 0 for none.
-        updates: News about other VMs.
+        updates: Changed members that the sender disseminates.
     """
 
     number: int
@@ -76,7 +76,7 @@
 
 
 class Ack(typing.NamedTuple):
-    """The answer to a Ping; the fields are those of Ping."""
+    """Response to a Ping; the fields are those of Ping."""
 
     number: int
     sender: member.Member
@@ -85,7 +85,7 @@
 
 
 class IndirectPingRequest(typing.NamedTuple):
-    """Asks the receiver to ping a VM that did not answer the sender.
+    """Requests that the receiver pings a VM that sent no Ack to the sender.
 
     Attributes:
         number: Number that the relayed Ack must carry.
@@ -97,39 +97,39 @@
 
 
 class FlowPlacement(typing.NamedTuple):
-    """One flow that is not on its default target."""
+    """The target of one flow that is not on its default target."""
 
     flow: bytes
     target: str
 
 
 class BackupExceptions(typing.NamedTuple):
-    """A home asks its backup to keep exceptions."""
+    """Exceptions that a home stores at its backup."""
 
     entries: tuple[FlowPlacement, ...]
 
 
 class DiscardExceptions(typing.NamedTuple):
-    """A home tells its backup that flows have ended."""
+    """Flows that have ended, whose exceptions the backup discards."""
 
     flows: tuple[bytes, ...]
 
 
 class Handover(typing.NamedTuple):
-    """Exceptions for the VM that has become the home of their flows."""
+    """Exceptions that are sent to the VM that became the home of their flows."""
 
     entries: tuple[FlowPlacement, ...]
 
 
 class OpenFlows(typing.NamedTuple):
-    """What one home has on one target.
+    """Load that one home has placed on one target.
 
     Attributes:
         target: Name of the target.
-        flows: Open flows.
-        recent_tenths: Ten times the flows lately placed, which fade; see
-            ``work.WorkBook``. Whole numbers would round the few that each home
-            has on a weak target down to nothing.
+        flows: Number of open flows.
+        recent_tenths: Ten times the decaying count of recently placed flows, see
+            the module ``work``. The unit is a tenth because whole numbers would
+            round the few flows that each home has on a weak target to zero.
     """
 
     target: str
@@ -138,35 +138,35 @@
 
 
 class LoadReport(typing.NamedTuple):
-    """Open and recent flows of one home, for the others' estimates."""
+    """Open and recent flows of one home, for the load estimates of other VMs."""
 
     entries: tuple[OpenFlows, ...]
 
 
 class ConfigResponse(typing.NamedTuple):
-    """A configuration document, pushed or sent for a ConfigWant."""
+    """A configuration document, sent in response to ConfigRequest."""
 
     value: bytes
 
 
 class ConfigRequest(typing.NamedTuple):
-    """Asks for the document when the receiver has a newer one.
+    """Requests the configuration document if the receiver has a newer one.
 
     Attributes:
-        sequence: What the sender has in force; 0 for none.
+        sequence: Sequence in force at the sender; 0 for none.
     """
 
     sequence: int
 
 
 class ExplainFlowRequest(typing.NamedTuple):
-    """An operator asks what a VM knows of a flow."""
+    """Request of an operator for the records that a VM has of a flow."""
 
     flow: bytes
 
 
 class ExplainTargetRequest(typing.NamedTuple):
-    """An operator asks what a VM knows of a target."""
+    """Request of an operator for the records that a VM has of a target."""
 
     target: str
 
@@ -179,7 +179,7 @@
 
 
 class ExplainResponse(typing.NamedTuple):
-    """The answer to an operator's question."""
+    """Response to ExplainFlowRequest or ExplainTargetRequest."""
 
     facts: tuple[Fact, ...]
 
@@ -233,7 +233,7 @@
 
 
 def decode(payload: bytes) -> PeerMessage:
-    """Read a message.
+    """Decode a message.
 
     Args:
         payload: Bytes from another VM.
@@ -242,16 +242,16 @@
         The message, with all field types checked.
 
     Raises:
-        errors.MessageInvalidError: The bytes are no message we know.
+        errors.MessageInvalidError: The bytes are not a known message.
     """
     if len(payload) > MAX_LINK_BYTES:
         raise errors.MessageInvalidError("message is too large")
     try:
         plain = cbor2.loads(payload)
     except (cbor2.CBORDecodeError, ValueError, RecursionError) as error:
-        raise errors.MessageInvalidError(f"not CBOR: {error}") from error
+        raise errors.MessageInvalidError(f"message is not CBOR: {error}") from error
     if not isinstance(plain, (list, tuple)) or not plain:
-        raise errors.MessageInvalidError("not an array")
+        raise errors.MessageInvalidError("message is not a CBOR array with a code")
     code, *fields = plain
     kind = _TYPES.get(code) if type(code) is int else None
     if kind is None:
@@ -263,10 +263,10 @@
 
 
 def flow_key(packed: bytes) -> packet.FlowKey:
-    """Read the thirteen bytes that ``FlowKey.packed`` makes.
+    """Decode the 13 bytes that ``FlowKey.packed`` returns.
 
     Raises:
-        errors.MessageInvalidError: The length is not thirteen.
+        errors.MessageInvalidError: The length is not 13 bytes.
     """
     if len(packed) != _FLOW_BYTES:
         raise errors.MessageInvalidError("flow key is not 13 bytes")
