--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -1,4 +1,4 @@
-"""From a rules text to a document that every VM can put in force."""
+"""Changes of operators, from a rules text to a document that VMs can compile."""
 
 import pytest
 from twisted.internet import defer
@@ -31,12 +31,12 @@
     return world.World(seed=3)
 
 
-def test_removed_target_is_kept_as_retired(
+def test_removed_target_becomes_retired(
     empty_world: world.World, rules_text: str
 ) -> None:
-    # An operator removes a target's line while flows are open to it. Were the
-    # document refused by the VMs, the change would be accepted and never in
-    # force, and all later changes with it.
+    # An operator removes a target's line while flows are open to it. If the VMs
+    # refused the document, this change and all later ones would be accepted but
+    # never in force.
     empty_world.apply(rules_text)
     empty_world.apply(without(rules_text, "d1"))
     compiled = config.Config(accepted(empty_world))
@@ -45,7 +45,7 @@
     assert compiled.targets["d2"].accepts
 
 
-def test_removed_service_keeps_its_targets(
+def test_removed_service_and_its_targets_become_retired(
     empty_world: world.World, rules_text: str
 ) -> None:
     empty_world.apply(rules_text)
@@ -55,7 +55,7 @@
     assert [item.retired for item in compiled.services["vault"].targets] == [True] * 3
 
 
-def test_line_that_comes_back_is_no_longer_retired(
+def test_line_that_is_added_again_is_not_retired(
     empty_world: world.World, rules_text: str
 ) -> None:
     empty_world.apply(rules_text)
@@ -66,27 +66,27 @@
 
 
 def submit(made: world.World, text: str, author: str) -> change.Result:
-    """Plan and submit rules in one go."""
+    """Plan and submit rules in one step."""
     operator = change.Operator(made.platform, author)
     plan = made.wait(operator.plan(text, made.now_ms))
     result: change.Result = made.wait(operator.submit(plan))
     return result
 
 
-def test_lost_answer_of_a_write_that_took_effect(
+def test_lost_response_to_an_effective_write_gives_accepted(
     empty_world: world.World, rules_text: str
 ) -> None:
-    # The store accepts a change and its answer is lost. Reported as failed, the
-    # operator would be surprised by a change that is in force.
+    # The store accepts a change and its response is lost. If the change were
+    # reported as failed, it would be in force unexpectedly for the operator.
     empty_world.platform.set_faults(emulated_platform.Faults(lost_answers=1))
     assert submit(empty_world, rules_text, "ann").outcome is change.Outcome.ACCEPTED
 
 
-def test_late_write_after_not_accepted_stays_out(
+def test_late_write_after_not_accepted_has_no_effect(
     empty_world: world.World, rules_text: str
 ) -> None:
-    # The network holds a write back for three seconds. Meanwhile the operator
-    # is told that the change was not accepted, and goes home; then it arrives.
+    # The network delays a write by three seconds. In the meantime the operator gets
+    # the result that the change was not accepted; then the write arrives.
     submit(empty_world, rules_text, "ann")
     late = emulated_platform.Faults(lost_answers=1, late_ms=3000)
     empty_world.platform.set_faults(late)
@@ -97,11 +97,12 @@
     assert submit(empty_world, without(rules_text, "d2"), "ann").sequence == 2
 
 
-def test_lost_answer_of_a_change_that_was_overtaken(
+def test_lost_response_to_a_superseded_change_gives_accepted(
     empty_world: world.World, rules_text: str
 ) -> None:
-    # A change is accepted, its answer is lost, and before its operator looks,
-    # another one builds on it. The first must hear that it was accepted.
+    # A change is accepted and its response is lost. Before its operator reads the
+    # store, another change based on it is accepted. The result for the first
+    # operator must be that the change was accepted.
     submit(empty_world, rules_text, "ann")
     operator = change.Operator(empty_world.platform, "ben")
     text = without(rules_text, "d1")
@@ -120,7 +121,7 @@
     assert result[0].sequence == 2
 
 
-def test_outage_after_the_write_leaves_it_unknown(
+def test_outage_during_submission_gives_change_unknown(
     empty_world: world.World, rules_text: str
 ) -> None:
     submit(empty_world, rules_text, "ann")
@@ -132,9 +133,11 @@
         empty_world.wait(operator.submit(plan))
 
 
-def test_two_operators_at_once(empty_world: world.World, rules_text: str) -> None:
-    # Both plan on the same document. The slower one must hear that it lost,
-    # and see the other's lines.
+def test_concurrent_change_gives_a_conflict(
+    empty_world: world.World, rules_text: str
+) -> None:
+    # Two operators plan on the same document. The slower one must get a conflict
+    # that shows the other's lines.
     submit(empty_world, rules_text, "ann")
     ben = change.Operator(empty_world.platform, "ben")
     text = without(rules_text, "d1")
@@ -148,19 +151,19 @@
 def test_rules_with_faults_in_the_store_can_be_replaced(
     empty_world: world.World, rules_text: str
 ) -> None:
-    # Another version wrote rules that this one can't read. Did the command
-    # insist on reading them, no operator could ever mend them.
+    # Another version writes rules that this one can't read. If a change required
+    # valid rules in the store, no operator could ever replace them.
     broken = config.Document(4, "x", "x", 1, "servce desk  # typo\n", "", ())
     put = store.Put(store.RULES_KEY, config.encode(broken))
     empty_world.platform.write((), (put,))
     assert submit(empty_world, rules_text, "ann").sequence == 5
 
 
-def test_name_of_a_retired_target_is_not_given_to_another(
+def test_retired_target_name_with_another_address_is_refused(
     empty_world: world.World, rules_text: str
 ) -> None:
-    # A target's line is removed, and a day later its name comes back with
-    # another address. Open flows to the old one would be cut.
+    # A target's line is removed, and a day later its name is used again with
+    # another address. Open flows to the old address would be cut.
     submit(empty_world, rules_text, "ann")
     submit(empty_world, without(rules_text, "d1"), "ann")
     moved = rules_text.replace("127.0.10.1:5555", "127.0.10.99:5555")
@@ -169,20 +172,21 @@
 
 
 def test_renamed_target_is_refused(empty_world: world.World, rules_text: str) -> None:
-    # A line keeps its endpoint and gets another name. The VMs would take it
-    # for another target and drop the flows that are open to the old name.
+    # A line keeps its endpoint and gets another name. The VMs would treat it as
+    # another target and drop the flows that are open to the old name.
     submit(empty_world, rules_text, "ann")
     renamed = rules_text.replace("target d1 ", "target extra ")
     with pytest.raises(errors.RulesInvalidError, match="keep the name"):
         submit(empty_world, renamed, "ann")
 
 
-def test_endpoint_may_serve_another_service(
+def test_endpoint_may_move_to_another_service_after_the_reuse_delay(
     empty_world: world.World, rules_text: str
 ) -> None:
-    # A machine moves to another service under a new name. The old target must
-    # vanish from the retired lines, or its packets would reach the new one. It
-    # does so a while after its own line has gone, and not in the same change.
+    # A machine moves to another service under a new name. The old target must be
+    # removed from the retired lines, or its packets would reach the new target.
+    # That happens only when its own line has been gone for the reuse delay, and
+    # not in the same change.
     submit(empty_world, rules_text, "ann")
     line = "target moved vault 127.0.10.1:5555 zone=z1  # asked by ann\n"
     rest = without(rules_text, "d1")
@@ -198,11 +202,12 @@
     assert compiled.targets["moved"].service == "vault"
 
 
-def test_retired_lines_stay_within_their_bound(
+def test_retired_lines_are_bounded_and_stay_valid(
     empty_world: world.World, rules_text: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Lines are removed all day. Cut off at the bound, a retired target may not
-    # stay behind without its service, or no VM could read the document.
+    # Lines are removed all day, and the oldest retired lines are dropped at the
+    # bound. A retired target must not remain without the line of its service, or
+    # no VM could compile the document.
     monkeypatch.setattr(retired, "RETIRED_LINES", 3)
     submit(empty_world, rules_text, "ann")
     submit(empty_world, without(rules_text, "vault", "v1", "v2", "v3"), "ann")
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Each checker of histories finds a planted fault and passes a clean run."""
+"""Each checker reports a planted violation and passes a clean run."""
 
 import pytest
 
@@ -17,12 +17,12 @@
 )
 
 
-def test_clean_run_passes() -> None:
+def test_clean_run_has_no_violations() -> None:
     assert history.check(history.History(CLEAN)) == []
 
 
 @pytest.mark.parametrize(
-    ("promise", "planted"),
+    ("invariant", "planted"),
     [
         ("AtMostOnce", history.Start(5, 1, FLOW, "d1", "desk")),
         ("OneTarget", history.Start(5, 1, FLOW, "d2", "desk")),
@@ -36,14 +36,16 @@
         ("NoWrongService", history.Delivery(3, 1, FLOW, "v1", "vault", 0)),
     ],
 )
-def test_checker_finds_planted_fault(promise: str, planted: history.Record) -> None:
+def test_checker_reports_planted_violation(
+    invariant: str, planted: history.Record
+) -> None:
     found = history.check(history.History((*CLEAN, planted)))
-    assert promise in {item.invariant for item in found}
+    assert invariant in {item.invariant for item in found}
 
 
-def test_answer_without_work_is_found() -> None:
-    # A target that answers from the bytes of an older connection would look
-    # whole to a caller, though its own request never ran.
+def test_answer_without_started_work_is_reported() -> None:
+    # A target that answers with the bytes of an older connection appears correct
+    # to the caller, although the caller's own request never ran.
     planted = (
         history.Call(30, 3, FLOW, "desk"),
         history.End(31, 3, history.Outcome.WHOLE, "d1", ""),
--- a/tests/test_history_config.py
+++ b/tests/test_history_config.py
@@ -1,4 +1,4 @@
-"""Histories of concurrent operators, and proof that their checkers can fail."""
+"""Histories of concurrent operators, and planted violations for the checkers."""
 
 import pytest
 
@@ -36,24 +36,24 @@
     )
 
 
-def faults(*operations: history_config.Operation) -> list[str]:
-    """Check operations alone."""
+def violations(*operations: history_config.Operation) -> list[str]:
+    """Return the violations of ``Linearizable`` by some operations."""
     history = history_config.History(operations, ())
     return history_config.Linearizable().check(history)
 
 
-def test_order_is_found_where_operations_overlap() -> None:
-    assert faults(swap("a", 0, 9, "", "x"), read(1, 3, ""), read(4, 8, "x")) == []
-    assert faults(swap("a", 0, 9, "x", "y"), swap("b", 0, 9, "", "x")) == []
+def test_overlapping_operations_with_a_valid_order_pass() -> None:
+    assert violations(swap("a", 0, 9, "", "x"), read(1, 3, ""), read(4, 8, "x")) == []
+    assert violations(swap("a", 0, 9, "x", "y"), swap("b", 0, 9, "", "x")) == []
     lost = swap("b", 0, 9, "", "y", OUTCOME.LOST)
-    assert faults(swap("a", 0, 9, "", "x"), lost) == []
+    assert violations(swap("a", 0, 9, "", "x"), lost) == []
 
 
-def test_write_of_unknown_outcome_may_come_late_or_never() -> None:
+def test_write_with_unknown_outcome_may_take_effect_late_or_never() -> None:
     unknown = swap("a", 0, 1, "", "x", OUTCOME.UNKNOWN)
-    assert faults(unknown, read(5, 6, "")) == []
-    assert faults(unknown, read(5, 6, ""), read(7, 8, "x")) == []
-    assert faults(unknown, read(5, 6, "x"), read(7, 8, "")) != []
+    assert violations(unknown, read(5, 6, "")) == []
+    assert violations(unknown, read(5, 6, ""), read(7, 8, "x")) == []
+    assert violations(unknown, read(5, 6, "x"), read(7, 8, "")) != []
 
 
 @pytest.mark.parametrize(
@@ -61,13 +61,13 @@
     [
         # A read after the write has ended shows the old value.
         (swap("a", 0, 1, "", "x"), read(2, 3, "")),
-        # Two operators both believe that they won on the same value.
+        # Two operators both replace the same value successfully.
         (swap("a", 0, 9, "", "x"), swap("b", 0, 9, "", "y")),
-        # A write that was said to have no effect is seen.
+        # A write that was reported to have no effect is read.
         (swap("a", 0, 1, "", "x", OUTCOME.REFUSED), read(2, 3, "x")),
-        # A write was said to have lost, and nothing else was there.
+        # A write was reported as lost, but the key had the expected value.
         (swap("a", 0, 1, "", "x", OUTCOME.LOST), read(2, 3, "")),
-        # A value goes back.
+        # A read returns a value that was replaced before an earlier read.
         (
             swap("a", 0, 1, "", "x"),
             swap("a", 2, 3, "x", "y"),
@@ -76,35 +76,35 @@
         ),
     ],
 )
-def test_checker_fails_on_planted_orders(
+def test_checker_reports_operations_without_a_valid_order(
     operations: tuple[history_config.Operation, ...],
 ) -> None:
-    assert len(faults(*operations)) == 1
+    assert len(violations(*operations)) == 1
 
 
 @pytest.mark.parametrize(
-    ("second", "told"),
+    ("second", "expected"),
     [
         (history_config.InForce("vm1", 9, 1, "x"), "went from 2 to 1"),
         (history_config.InForce("vm2", 9, 2, "z"), "has z as 2, others y"),
         (history_config.InForce("vm2", 9, 3, "v"), "v in force, which was not"),
     ],
 )
-def test_checker_fails_on_planted_configurations(
-    second: history_config.InForce, told: str
+def test_checker_reports_planted_configurations_in_force(
+    second: history_config.InForce, expected: str
 ) -> None:
     accepted = [swap("a", n, n, "", value) for n, value in enumerate("xyz")]
     first = history_config.InForce("vm1", 5, 2, "y")
     history = history_config.History(tuple(accepted), (first, second))
     found = history_config.Steady().check(history)
-    assert [told in item for item in found] == [True]
+    assert [expected in item for item in found] == [True]
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_concurrent_operators_are_linearizable(seed: int) -> None:
-    # Three operators edit at once while the platform is down, slow, loses
-    # answers or carries writes out late. One of them could be told that a
-    # change was accepted which is not in force, or the other way round.
+    # Three operators make changes concurrently while the platform is down, is slow,
+    # loses responses or delays writes. An operator could get the result that a
+    # change was accepted which is not in force, or the reverse.
     history = operators.Operators(seed, 3, 3).run(12)
     assert history_config.check(history) == []
     outcomes = {item.outcome for item in history.operations}
@@ -112,7 +112,7 @@
     assert history.in_force
 
 
-def test_runs_show_every_outcome() -> None:
+def test_runs_produce_every_outcome() -> None:
     seen = set()
     for seed in SEEDS:
         history = operators.Operators(seed, 2, 0, 2.0).run(12)
@@ -121,13 +121,14 @@
     assert seen == set(OUTCOME)
 
 
-def test_checker_finds_a_missing_fence(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Planted: an operator whose answer was lost looks once, sees nothing, and
-    # reports the change as not accepted. The write under way comes later.
-    async def no_fence(_: change.Operator, __: store.Row | None) -> bool:
+def test_checker_reports_a_missing_fence(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Planted fault: an operator whose response was lost reads the store once, does
+    # not find the change, and reports it as not accepted. The write in transit
+    # takes effect later.
+    async def skip_fence(_: change.Operator, __: store.Row | None) -> bool:
         return True
 
-    monkeypatch.setattr(change.Operator, "_fence", no_fence)
+    monkeypatch.setattr(change.Operator, "_fence", skip_fence)
     found = [
         history_config.check(operators.Operators(seed, 1, 0, 4.0).run(12))
         for seed in SEEDS
@@ -135,19 +136,19 @@
     assert any(found)
 
 
-def test_checker_finds_a_store_that_ignores_comparisons(
+def test_checker_reports_a_store_that_ignores_comparisons(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Planted: the store accepts each write, whatever was there before.
-    right = emulated_platform.EmulatedStore.write
+    # Planted fault: the store accepts each write regardless of its comparisons.
+    original_write = emulated_platform.EmulatedStore.write
 
-    def wrong(
+    def write_unconditionally(
         self: emulated_platform.EmulatedStore,
         compares: list[store.Compare],
         puts: list[store.Put],
     ) -> store.Committed:
-        return right(self, (), puts)
+        return original_write(self, (), puts)
 
-    monkeypatch.setattr(emulated_platform.EmulatedStore, "write", wrong)
+    monkeypatch.setattr(emulated_platform.EmulatedStore, "write", write_unconditionally)
     history = operators.Operators(1, 3, 3).run(12)
     assert history_config.Linearizable().check(history) != []
--- a/tests/test_packet.py
+++ b/tests/test_packet.py
@@ -1,4 +1,4 @@
-"""The packet contract."""
+"""Parsing and building of packets."""
 
 import contextlib
 
@@ -19,7 +19,7 @@
     return packet.FouCodec()
 
 
-def test_tcp_round_trip(codec: packet.PacketCodec) -> None:
+def test_tcp_packet_survives_encoding_and_decoding(codec: packet.PacketCodec) -> None:
     raw = packet.build_tcp(CALLER, SERVICE, packet.Flags.SYN, 7, 0, b"hello")
     item = codec.decode(codec.encode(raw))
     assert item.opens
@@ -28,21 +28,21 @@
 
 
 def test_fragment_is_unsupported(codec: packet.PacketCodec) -> None:
-    # Fragments carry no ports beyond the first, so a caller that sends them
-    # sees its packets dropped, and the operator sees the count.
+    # Only the first fragment of a packet has ports, so fragments can't be balanced.
+    # They must be dropped and counted, so that the operator can see them.
     raw = bytearray(packet.build_udp(CALLER, SERVICE, b"x"))
     raw[6] = 0x20
     with pytest.raises(errors.PacketUnsupportedError):
         codec.decode(bytes(raw))
 
 
-def test_refusal_quotes_udp(codec: packet.PacketCodec) -> None:
+def test_refusal_of_udp_quotes_the_packet(codec: packet.PacketCodec) -> None:
     item = codec.decode(packet.build_udp(CALLER, SERVICE, b"x" * 40))
     refusal = packet.build_refusal(item, errors.ErrorKind.NO_TARGET, 1000)
     assert item.raw[:28] in refusal
 
 
-def test_refusal_resets_tcp(codec: packet.PacketCodec) -> None:
+def test_refusal_of_tcp_is_a_reset_with_the_reason(codec: packet.PacketCodec) -> None:
     syn = codec.decode(packet.build_tcp(CALLER, SERVICE, packet.Flags.SYN, 41))
     refusal = packet.build_refusal(syn, errors.ErrorKind.NO_TARGET, 1000)
     item = codec.decode(refusal)
@@ -52,8 +52,8 @@
 
 
 @given(strategies.binary(max_size=200))
-def test_any_bytes_give_a_packet_or_a_typed_error(data: bytes) -> None:
-    # Anyone can send anything to the data port; a VM that fell over it would
-    # take its flows with it.
+def test_any_bytes_give_a_packet_or_a_packet_error(data: bytes) -> None:
+    # Any host can send any bytes to the data port. If a VM crashed on them, its
+    # flows would be lost.
     with contextlib.suppress(errors.PacketError):
         packet.FouCodec().decode(data)
--- a/tests/test_rule.py
+++ b/tests/test_rule.py
@@ -1,4 +1,4 @@
-"""The rules file."""
+"""Parsing of the rules file."""
 
 import pytest
 from hypothesis import given, strategies
@@ -15,14 +15,14 @@
     assert len(parsed.rules.targets) == 10
 
 
-def test_line_without_asker_is_refused() -> None:
-    # Nobody can tell later whom to ask about a rule without a name.
+def test_line_without_a_comment_is_refused() -> None:
+    # Without a name in the comment, nobody can find out later who asked for a rule.
     faults = rule.parse("drain d1").faults
     assert (faults[0].line, faults[0].column) == (1, 9)
     assert "who asked" in faults[0].problem
 
 
-def test_every_fault_is_named() -> None:
+def test_every_fault_is_listed_with_its_position() -> None:
     text = (
         "service a 10.0.0.1:99999 tcp shutdown=2030-01-01 # asked by A\n"
         "target t nowhere 10.0.0.2:1 zone=z1 slots=x # asked by A\n"
@@ -34,20 +34,20 @@
         rule.read(text)
 
 
-def test_line_separator_inside_of_a_line_is_refused() -> None:
-    # An editor or a web page puts a Unicode line separator into a comment.
-    # The difference that an operator is shown would hold a drain that is not in
-    # force, or a retired line would come back as two.
+def test_unicode_line_separator_in_a_line_is_refused() -> None:
+    # An editor or a web page inserts a Unicode line separator into a comment. The
+    # difference shown to an operator would contain a drain that is not in force, or
+    # a retired line would be parsed as two lines later.
     faults = rule.parse("limit a flows=1 # asked by A\u2028drain b # asked by B").faults
     assert (faults[0].line, faults[0].column) == (1, 29)
 
 
-def test_limit_that_limits_nothing_is_refused() -> None:
+def test_limit_without_options_is_refused() -> None:
     faults = rule.parse("limit a # asked by A").faults
     assert "flows= is missing" in faults[0].problem
 
 
-def test_lines_keep_their_numbers_when_read_again() -> None:
+def test_cached_lines_get_their_present_line_numbers() -> None:
     first = rule.parse("drain a # asked by A")
     second = rule.parse("\n\ndrain a # asked by A\nbogus # x")
     assert first.rules.drains[0].line == 1
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -1,4 +1,4 @@
-"""Telling a flow's story from logs."""
+"""Extraction of the log lines that explain a flow."""
 
 import pathlib
 import subprocess
@@ -30,25 +30,27 @@
     ]
 
 
-def test_finds_the_flow_and_what_the_vm_believed(log: list[str]) -> None:
-    told = story.extract(log, FLOW)
-    assert [line.event for line in told.flow] == ["flow_placed", "flow_placed_again"]
-    assert [line.event for line in told.targets] == ["target_known", "target_dead"]
-    assert [line.event for line in told.around] == ["store_lost"]
-    assert told.around[0].fields["detail"] == "no answer"
+def test_story_has_the_flow_and_the_events_around_it(log: list[str]) -> None:
+    found = story.extract(log, FLOW)
+    assert [line.event for line in found.flow] == ["flow_placed", "flow_placed_again"]
+    assert [line.event for line in found.targets] == ["target_known", "target_dead"]
+    assert [line.event for line in found.around] == ["store_lost"]
+    assert found.around[0].fields["detail"] == "no answer"
 
 
-def test_reads_lines_that_a_collector_has_stamped(log: list[str]) -> None:
-    told = story.extract([f" 10.01 vm1 {line}" for line in log], FLOW)
-    assert len(told.flow) == 2
+def test_prefix_of_a_log_collector_is_skipped(log: list[str]) -> None:
+    found = story.extract([f" 10.01 vm1 {line}" for line in log], FLOW)
+    assert len(found.flow) == 2
 
 
 @pytest.mark.parametrize("text", ["", "Traceback", "at=noon event=a vm=b", "at=x"])
-def test_other_lines_are_passed_over(text: str) -> None:
+def test_line_without_an_event_gives_none(text: str) -> None:
     assert story.parse(text) is None
 
 
-def test_command(log: list[str], tmp_path: pathlib.Path) -> None:
+def test_command_prints_the_story_and_fails_without_one(
+    log: list[str], tmp_path: pathlib.Path
+) -> None:
     path = tmp_path / "vm1.log"
     path.write_text("\n".join(log))
     command = [sys.executable, "-m", "eelgrasswick", "story", FLOW, str(path)]
