--- a/eelgrasswick/change.py
+++ b/eelgrasswick/change.py
@@ -301,10 +301,11 @@
 ) -> None:
     """Refuse an address or endpoint that another service had until recently.
 
-    VMs put a change in force within seconds of each other. If an address passed
-    from one service to another in one change, VMs that still have the previous
-    configuration would send the new service's callers to the old service's targets,
-    which would serve them.
+    A removed address is free once no change was accepted for
+    ``ADDRESS_REUSE_DELAY_MS``. VMs put a change in force within seconds of each
+    other. If an address passed from one service to another in one change, VMs that
+    still have the previous configuration would send the new service's callers to
+    the old service's targets, which would serve them.
     """
     delay_passed = now_ms - before.at_ms >= ADDRESS_REUSE_DELAY_MS
     former = rule.parse(before.text).rules
--- a/eelgrasswick/fleet/contact.py
+++ b/eelgrasswick/fleet/contact.py
@@ -38,15 +38,15 @@
         if number > self._last_stale_number:
             self._acked = True
 
-    def may_join(self, now_ms: int, caught_up: bool) -> bool:
+    def may_join(self, now_ms: int, config_is_newest: bool) -> bool:
         """Return whether the VM may serve.
 
         Args:
             now_ms: Present time in milliseconds.
-            caught_up: True when no serving VM has a newer configuration.
+            config_is_newest: True when no serving VM has a newer configuration.
         """
         if self._started_ms is None:
             self._started_ms = now_ms
         if self._acked:
-            return caught_up
+            return config_is_newest
         return now_ms - self._started_ms >= ISOLATED_JOIN_DELAY_MS
--- a/eelgrasswick/fleet/keeper.py
+++ b/eelgrasswick/fleet/keeper.py
@@ -28,11 +28,17 @@
 REPORT_AFTER_CHANGE_MS: typing.Final = 300
 PEER_DISCOVERY_MS: typing.Final = 1500
 _COUNTER: typing.Final = message.Counter
-_REMAINING_STATES: typing.Final = member.SERVING | {member.MemberState.JOINING}
+_WATCH_CANDIDATE_STATES: typing.Final = member.SERVING | {member.MemberState.JOINING}
 
 
 class ConfigSync:
-    """The configuration in force at one VM; its sequence never decreases."""
+    """The configuration in force at one VM; its sequence never decreases.
+
+    Attributes:
+        current: The configuration in force; None before the first one.
+        changed: True after a configuration was put in force; the owner resets it.
+        watching: True while this VM watches the store.
+    """
 
     def __init__(self, name: str, peers: peer.Peers, outbox: message.Outbox) -> None:
         """Start without a configuration in force."""
@@ -216,7 +222,7 @@
     # Joining VMs are candidates as well. If only serving VMs were, each VM of a
     # fleet that starts at the same time would find itself the only candidate, and
     # all of them would watch.
-    remaining = [item for item in zone if item.state in _REMAINING_STATES]
-    present = remaining or [item for item in zone if not item.gone]
+    eligible = [item for item in zone if item.state in _WATCH_CANDIDATE_STATES]
+    present = eligible or [item for item in zone if not item.gone]
     candidates = [rendezvous.candidate(item.name, 1.0) for item in present]
     return rendezvous.ranked(b"watch", candidates)
--- a/eelgrasswick/fleet/member.py
+++ b/eelgrasswick/fleet/member.py
@@ -9,8 +9,8 @@
 # invalid address would make every later heartbeat fail, and the VM that had
 # accepted it would appear dead to the others. Decoding therefore checks these bounds.
 _OCTET: typing.Final = r"(25[0-5]|2[0-4]\d|1\d\d|[1-9]?\d)"
-_MAX_NAME: typing.Final = 63
-Name = typing.Annotated[str, msgspec.Meta(min_length=1, max_length=_MAX_NAME)]
+_MAX_NAME_LENGTH: typing.Final = 63
+Name = typing.Annotated[str, msgspec.Meta(min_length=1, max_length=_MAX_NAME_LENGTH)]
 Ip = typing.Annotated[str, msgspec.Meta(pattern=rf"^({_OCTET}\.){{3}}{_OCTET}\Z")]
 Port = typing.Annotated[int, msgspec.Meta(ge=1, le=65535)]
 Size = typing.Annotated[int, msgspec.Meta(ge=1, le=1000)]
--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -38,7 +38,15 @@
 
 
 class Membership:
-    """One VM's records of the fleet's members, kept up to date by heartbeats."""
+    """One VM's records of the fleet's members, kept up to date by heartbeats.
+
+    Attributes:
+        me: This VM.
+        others: All other known VMs by name, including those that are gone.
+        sequences: Sequences in force by VM name, as received with heartbeats.
+        changed: True after members have changed; the owner resets it.
+        sequence: Sequence in force at this VM; the owner sets it.
+    """
 
     def __init__(
         self,
@@ -248,7 +256,7 @@
         if known.state is member.MemberState.SUSPECT and sender.serves:
             # An Ack proves that packets pass in both directions, while a ping from
             # the VM proves only one. The other VMs clear their suspicion when the
-            # suspected VM learns of it and refutes it with a higher incarnation.
+            # suspected VM has received it and refutes it by a higher incarnation.
             self._set(now_ms, known._replace(state=sender.state))
         elif known.state is not member.MemberState.SUSPECT:
             self._suspicion_ends_ms.pop(sender.name, None)
--- a/eelgrasswick/fleet/probe.py
+++ b/eelgrasswick/fleet/probe.py
@@ -10,7 +10,7 @@
 
 
 class Overdue(typing.NamedTuple):
-    """A heartbeat whose Ack did not come in time.
+    """A heartbeat whose Ack did not arrive in time.
 
     Attributes:
         number: Number of the heartbeat.
@@ -37,7 +37,7 @@
     name: str
 
 
-class _Waiting:
+class _PendingAck:
     __slots__ = ("due_ms", "final", "name")
 
     def __init__(self, name: str, due_ms: int) -> None:
@@ -52,7 +52,7 @@
     def __init__(self) -> None:
         """Start without outstanding heartbeats."""
         self.last_number = 0
-        self._waiting: dict[int, _Waiting] = {}
+        self._pending: dict[int, _PendingAck] = {}
         self._relayed: dict[int, Relayed] = {}
 
     def take_number(self) -> int:
@@ -62,7 +62,7 @@
 
     def expect_ack(self, now_ms: int, number: int, name: str) -> None:
         """Start the Ack timeout of a heartbeat to a VM."""
-        self._waiting[number] = _Waiting(name, now_ms + ACK_TIMEOUT_MS)
+        self._pending[number] = _PendingAck(name, now_ms + ACK_TIMEOUT_MS)
 
     def relay(self, item: Relayed) -> int:
         """Return the number for a heartbeat sent on behalf of another VM."""
@@ -84,9 +84,9 @@
         Returns:
             The relayed heartbeat whose requester must receive the Ack, if any.
         """
-        waiting = self._waiting.get(number)
-        if waiting is not None and waiting.name == name:
-            del self._waiting[number]
+        pending = self._pending.get(number)
+        if pending is not None and pending.name == name:
+            del self._pending[number]
         relayed = self._relayed.get(number)
         if relayed is None or relayed.name != name:
             return None
@@ -99,16 +99,16 @@
         when the indirect one is.
         """
         found = []
-        for number, item in list(self._waiting.items()):
+        for number, item in list(self._pending.items()):
             if item.due_ms > now_ms:
                 continue
             found.append(Overdue(number, item.name, item.final))
             if item.final:
-                del self._waiting[number]
+                del self._pending[number]
             item.final = True
             item.due_ms = now_ms + INDIRECT_ACK_TIMEOUT_MS
         return found
 
     def clear(self) -> None:
         """Discard all Ack timeouts."""
-        self._waiting.clear()
+        self._pending.clear()
--- a/eelgrasswick/picture.py
+++ b/eelgrasswick/picture.py
@@ -3,7 +3,7 @@
 import pathlib
 import typing
 
-# A mark shorter than this width would not be visible.
+# A mark without a length is drawn with this width, so that it is visible.
 MIN_MARK_WIDTH_S: typing.Final = 0.02
 # Labels are distributed over this number of rows, so that they don't overlap.
 LABEL_ROWS: typing.Final = 16
--- a/eelgrasswick/rule.py
+++ b/eelgrasswick/rule.py
@@ -211,7 +211,7 @@
         elif found is not None:
             rules.append(found._replace(line=number))
     collected = _collect(rules)
-    faults.extend(_check_references(collected))
+    faults.extend(_check_consistency(collected))
     faults.sort()
     return Parsed(collected, tuple(faults))
 
@@ -226,8 +226,7 @@
         The rules.
 
     Raises:
-        errors.RulesInvalidError: The text has faults; the detail lists all of
-            them.
+        errors.RulesInvalidError: The text has faults; the detail lists them all.
     """
     parsed = parse(text)
     if parsed.faults:
@@ -294,7 +293,7 @@
     )
 
 
-def _check_references(rules: Rules) -> list[Fault]:
+def _check_consistency(rules: Rules) -> list[Fault]:
     faults = _duplicates(((r.line, r.name) for r in rules.services), "service name")
     faults += _duplicates(((r.line, r.name) for r in rules.targets), "target name")
     faults += _duplicates(((r.line, r.target) for r in rules.drains), "drain of target")
--- a/eelgrasswick/wire.py
+++ b/eelgrasswick/wire.py
@@ -85,7 +85,7 @@
 
 
 class IndirectPingRequest(typing.NamedTuple):
-    """Requests that the receiver pings a VM that sent no Ack to the sender.
+    """Request to ping a VM that sent no Ack to the sender.
 
     Attributes:
         number: Number that the relayed Ack must carry.
@@ -150,7 +150,7 @@
 
 
 class ConfigRequest(typing.NamedTuple):
-    """Requests the configuration document if the receiver has a newer one.
+    """Request for the configuration document, if the receiver has a newer one.
 
     Attributes:
         sequence: Sequence in force at the sender; 0 for none.
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -132,7 +132,7 @@
 def test_ack_of_another_vm_at_the_same_address_does_not_keep_a_vm_alive() -> None:
     # A VM dies and another one gets its address and acknowledges the pings that
     # are meant for the dead VM. If those Acks counted, the dead VM would stay the
-    # home of flows.
+    # home of flows that no VM has a record of.
     local = LocalMember(vm("a", 1))
     for _ in range(100):
         for item in local.run(50):
@@ -153,8 +153,8 @@
 
 def test_vm_restarted_with_an_earlier_clock_receives_its_recorded_death() -> None:
     # A VM restarts with the same name after its clock was set back. Its
-    # incarnation is lower than the recorded one, so the others ignore it until an
-    # Ack tells it the recorded state, which it can refute.
+    # incarnation is lower than the recorded one, so the others ignore it. Without
+    # the recorded state in an Ack, it could never refute that and join again.
     local = LocalMember(vm("a", 1, DEAD), vm("a", 1))
     local.ping(vm("b", 2), vm("a", 1, DEAD))
     local.run(30_000)
