--- a/eelgrasswick/decisions/choice.py
+++ b/eelgrasswick/decisions/choice.py
@@ -20,7 +20,7 @@
 
 
 class Candidate(typing.NamedTuple):
-    """A target and what other sources than this home's flows say of it.
+    """A target, its load at all homes, and whether it may get flows.
 
     Attributes:
         target: The target.
@@ -74,8 +74,8 @@
         # Exceptions stay in the default target's zone while it has room. A flow that
         # crosses zones has a longer path for every packet and breaks when either zone
         # fails.
-        near = sorted(candidates, key=lambda item: item.target.zone != zone)
-        loads = [self._load(now_ms, item) for item in near]
+        same_zone_first = sorted(candidates, key=lambda item: item.target.zone != zone)
+        loads = [self._load(now_ms, item) for item in same_zone_first]
         chosen = self._policy.choose(loads, self._shift.factor(now_ms))
         waits = chosen is None and any(item.usable for item in candidates)
         return Choice(chosen, waits)
--- a/eelgrasswick/decisions/ejection.py
+++ b/eelgrasswick/decisions/ejection.py
@@ -6,11 +6,12 @@
 VMs each one detects the fault only by its own callers' requests, one target after the
 other.
 
-The VMs of a zone therefore exchange witnesses: reports that a request of theirs is
-overdue at a target. Enough witnesses within a short time eject the target for all of
-these VMs. An ejection ends by itself. It lasts longer when it closely follows the one
-before, and ends at a different moment on each VM, so that the first flow that returns
-is a trial for all VMs. One witness is then enough to eject the target again.
+The VMs of a zone therefore report to one another that a request of theirs is overdue at
+a target. A VM that reports this is a witness. Enough witnesses within a short time
+eject the target for all of these VMs. An ejection ends by itself. It lasts longer when
+it closely follows the one before, and ends at a different moment on each VM, so that
+the first flow that returns is a trial for all VMs. One witness is then enough to eject
+the target again.
 
 A slow service looks the same as many targets that hang. At most a part of the targets
 of a service and zone is therefore ejected; beyond it no target is (the panic threshold
@@ -19,7 +20,7 @@
 
 import typing
 
-# Witnesses within this time of one another are counted together.
+# Witnesses whose reports are within this time of one another are counted together.
 WITNESS_WINDOW_MS: typing.Final = 1500
 MIN_WITNESSES: typing.Final = 3
 # Lengths of the first and of the longest ejection. A random part of up to half of the
@@ -38,7 +39,7 @@
     Attributes:
         cookie: The target.
         vm: Identifies the VM.
-        age_ms: How long ago the VM detected it.
+        age_ms: How long ago the VM detected it, in milliseconds.
     """
 
     cookie: int
@@ -87,16 +88,16 @@
         return bool(self._records)
 
     def add_witness(self, now_ms: int, item: Witness, fraction: float) -> bool:
-        """Record a witness of this or another VM.
+        """Record that this or another VM is a witness.
 
         Args:
             now_ms: Present time in milliseconds.
-            item: The witness.
+            item: The witness and its target.
             fraction: Random number from 0 to 1, which makes the VMs end an ejection at
                 different moments.
 
         Returns:
-            True when the witness is to be sent to other VMs: it is new to this VM, and
+            True when the report is to be sent to other VMs: it is new to this VM, and
             the target had fewer witnesses than an ejection needs.
         """
         at_ms = now_ms - item.age_ms
--- a/eelgrasswick/decisions/placement.py
+++ b/eelgrasswick/decisions/placement.py
@@ -91,25 +91,29 @@
         if math.isinf(factor):
             return usable[0].target
         strength = sum(item.strength for item in usable)
-        recent = (sum(item.recent for item in usable) + 1) / strength
-        opened = (sum(item.open_flows for item in usable) + 1) / strength
+        recent_per_strength = (sum(item.recent for item in usable) + 1) / strength
+        open_per_strength = (sum(item.open_flows for item in usable) + 1) / strength
         slots = sum(item.target.slots for item in usable)
-        busy = sum(item.busy for item in usable) / slots
+        busy_per_slot = sum(item.busy for item in usable) / slots
         for item in usable:
             # The slack is half a flow, because a target whose share is below one flow
             # must still be able to get one.
-            even = item.recent + 0.5 <= factor * recent * item.strength
+            within_recent = (
+                item.recent + 0.5 <= factor * recent_per_strength * item.strength
+            )
             # At the same use of its slots a slow target has as many open requests as a
             # fast one. A bound by strength alone would make it look full, and it would
             # get a tenth too little.
             slot_allowance = OPEN_PER_SLOT * item.target.slots
-            share = OPEN_FACTOR * opened * item.strength
-            light = item.open_flows <= share + slot_allowance
-            idle = item.busy <= factor * busy * item.target.slots + BUSY_SLACK
-            if even and light and idle:
+            share = OPEN_FACTOR * open_per_strength * item.strength
+            within_open = item.open_flows <= share + slot_allowance
+            within_busy = (
+                item.busy <= factor * busy_per_slot * item.target.slots + BUSY_SLACK
+            )
+            if within_recent and within_open and within_busy:
                 return item.target
-        return min(usable, key=_recent_per_strength).target
+        return min(usable, key=_fill_level).target
 
 
-def _recent_per_strength(item: TargetLoad) -> float:
+def _fill_level(item: TargetLoad) -> float:
     return (item.recent + 1) / item.strength
--- a/eelgrasswick/decisions/waiting.py
+++ b/eelgrasswick/decisions/waiting.py
@@ -95,7 +95,7 @@
         waiter = Waiter(flow, caller, now_ms, now_ms + self.wait_ms, item)
         if self.wait_ms and self._claim_reservation(now_ms, caller):
             self._reserved_lane.append(waiter)
-        elif self._full(now_ms, caller):
+        elif self._is_full(now_ms, caller):
             return admission.Refusal(
                 errors.ErrorKind.WAIT_FULL, self.reserve(now_ms, caller)
             )
@@ -141,17 +141,19 @@
         """Reserve room for a caller and return the delay until then in ms."""
         step_ms = 1000 / (self._rate_per_s(now_ms) * RESERVED_RATE_SHARE)
         earliest_ms = now_ms + admission.MIN_RETRY_MS
-        turn_ms = max(self._last_reserved_ms + step_ms, earliest_ms)
+        reservation_ms = max(self._last_reserved_ms + step_ms, earliest_ms)
         reserved_ms = self._reservations.get(caller, ())
         # Without this limit one caller with many flows would get nearly all
         # reservations, and callers who ask for one flow would wait behind it.
         fair = len(reserved_ms) < RESERVATIONS_PER_CALLER
         known = bool(reserved_ms) or len(self._reservations) < MAX_RESERVING_CALLERS
-        if turn_ms > now_ms + MAX_RETRY_MS or not (fair and known):
+        if reservation_ms > now_ms + MAX_RETRY_MS or not (fair and known):
             return self._spread_retry_ms()
-        self._last_reserved_ms = turn_ms
-        self._reservations.setdefault(caller, collections.deque()).append(int(turn_ms))
-        return int(turn_ms) - now_ms
+        self._last_reserved_ms = reservation_ms
+        self._reservations.setdefault(caller, collections.deque()).append(
+            int(reservation_ms)
+        )
+        return int(reservation_ms) - now_ms
 
     def _spread_retry_ms(self) -> int:
         self._unreserved += 1
@@ -172,12 +174,12 @@
         reserved_ms.popleft()
         return True
 
-    def _full(self, now_ms: int, caller: bytes) -> bool:
+    def _is_full(self, now_ms: int, caller: bytes) -> bool:
         if not self.wait_ms or len(self._flows) >= MAX_WAITING_FLOWS:
             return True
-        return self._expected_ms(now_ms, caller) > self.wait_ms
+        return self._expected_wait_ms(now_ms, caller) > self.wait_ms
 
-    def _expected_ms(self, now_ms: int, caller: bytes) -> float:
+    def _expected_wait_ms(self, now_ms: int, caller: bytes) -> float:
         own = len(self._lanes.get(caller, ())) + 1
         before = sum(min(own, len(lane)) for lane in self._lanes.values())
         return (len(self._reserved_lane) + before) / self._rate_per_s(now_ms) * 1000
