--- a/eelgrasswick/decisions/waiting.py
+++ b/eelgrasswick/decisions/waiting.py
@@ -168,7 +168,7 @@
         if reserved_ms is not None and not reserved_ms:
             del self._reservations[caller]
         # Network delays to the caller and back add to the wait and never shorten it. A
-        # caller that returns before its time therefore did not wait as told.
+        # caller that returns before its time therefore did not wait for it.
         if not reserved_ms or reserved_ms[0] > now_ms:
             return False
         reserved_ms.popleft()
--- a/eelgrasswick/ini.py
+++ b/eelgrasswick/ini.py
@@ -44,7 +44,7 @@
     """Return an IPv4 address after a check.
 
     Raises:
-        ValueError: The text is no IPv4 address.
+        ValueError: The text is not an IPv4 address.
     """
     return str(ipaddress.IPv4Address(text))
 
--- a/eelgrasswick/platform/answers.py
+++ b/eelgrasswick/platform/answers.py
@@ -42,7 +42,7 @@
         """Append a page.
 
         Raises:
-            errors.StoreError: The body is no page of rows.
+            errors.StoreError: The body is not a page of rows.
         """
         try:
             page = [row(item) for item in body["items"]]
--- a/tests/test_strength.py
+++ b/tests/test_strength.py
@@ -75,11 +75,11 @@
 def limits_after(
     lives_ms: typing.Iterable[int], every_ms: int
 ) -> concurrency.ConcurrencyLimits:
-    tracker = concurrency.ConcurrencyLimits()
+    limits = concurrency.ConcurrencyLimits()
     for index, life_ms in enumerate(lives_ms):
-        busy = int(tracker.limit("a")) - 1
-        tracker.ended(index * every_ms, "a", life_ms, busy)
-    return tracker
+        busy = int(limits.limit("a")) - 1
+        limits.ended(index * every_ms, "a", life_ms, busy)
+    return limits
 
 
 def test_limit_grows_while_answers_are_fast() -> None:
@@ -92,9 +92,9 @@
 
     Twice the capacity of the target comes in.
     """
-    tracker = limits_after([40] * 30 + [900] * 10, 40)
-    assert tracker.limit("a") <= (40 + concurrency.MAX_QUEUE_MS) / 40 + 1
-    assert not tracker.room("a", 10)
+    limits = limits_after([40] * 30 + [900] * 10, 40)
+    assert limits.limit("a") <= (40 + concurrency.MAX_QUEUE_MS) / 40 + 1
+    assert not limits.room("a", 10)
 
 
 def test_limit_always_leaves_room_for_one_flow() -> None:
@@ -112,10 +112,10 @@
 
     Thousands of them open again within seconds, and none of them ends.
     """
-    tracker = concurrency.ConcurrencyLimits()
+    limits = concurrency.ConcurrencyLimits()
     for _ in range(50):
-        tracker.aged(10_000, "a")
-    assert tracker.room("a", 50)
+        limits.aged(10_000, "a")
+    assert limits.room("a", 50)
 
 
 def test_joining_target_is_ramped_but_not_the_targets_of_a_new_vm() -> None:
