--- a/eelgrasswick/homes/emptiness.py
+++ b/eelgrasswick/homes/emptiness.py
@@ -19,6 +19,14 @@
 
 
 class _Leaving:
+    """State of one target that takes no new flow.
+
+    Attributes:
+        empty_ms: Since when the target has been empty; None while it is not.
+        recorded: Whether the audit trail has an entry of it.
+        sequence: Sequence of the configuration since which it takes no new flow.
+    """
+
     __slots__ = ("empty_ms", "recorded", "sequence")
 
     def __init__(self, sequence: int) -> None:
--- a/eelgrasswick/homes/epoch.py
+++ b/eelgrasswick/homes/epoch.py
@@ -159,7 +159,7 @@
 
         The home and backup of a slot are ranked over all VMs. Ranking all slots
         again after each change of a large fleet would keep a VM busy for
-        seconds, in which it would send no heartbeats. With rendezvous hashing,
+        seconds, and it would send no heartbeats meanwhile. With rendezvous hashing,
         a home or backup that still serves keeps its role unless a VM that
         joined ranks above it.
 
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -59,13 +59,13 @@
         self._fleet = fleet
 
     def explain(
-        self, now_ms: int, asked: wire.ExplainFlow | wire.ExplainTarget
+        self, now_ms: int, request: wire.ExplainFlow | wire.ExplainTarget
     ) -> wire.Explained:
         """Respond to an operator's request to explain a flow or a target.
 
         Args:
             now_ms: Present time in milliseconds.
-            asked: The request, which names the flow or target.
+            request: The request, which names the flow or target.
 
         Returns:
             Facts in the order in which they are printed.
@@ -78,10 +78,10 @@
             "state": self._fleet.me.state.name.lower(),
             "sequence": str(self._keeper.sequence),
         }
-        if isinstance(asked, wire.ExplainFlow):
-            facts.update(self._flow(now_ms, wire.flow_key(asked.flow)))
+        if isinstance(request, wire.ExplainFlow):
+            facts.update(self._flow(now_ms, wire.flow_key(request.flow)))
         else:
-            facts.update(self._target(now_ms, asked.target))
+            facts.update(self._target(now_ms, request.target))
         return wire.Explained(tuple(wire.Fact(*item) for item in facts.items()))
 
     def _flow(self, now_ms: int, key: packet.FlowKey) -> dict[str, str]:
--- a/eelgrasswick/homes/guess.py
+++ b/eelgrasswick/homes/guess.py
@@ -131,7 +131,7 @@
         peers = self._tables.peers
         return all(name == self._name or peers.reachable(name) for name in former)
 
-    def agreed_target(
+    def former_home_target(
         self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
     ) -> target.Target | None:
         """Return the target on which an unreachable former home would place a flow.
--- a/eelgrasswick/homes/home.py
+++ b/eelgrasswick/homes/home.py
@@ -105,25 +105,25 @@
         if settled is not None:
             self._settle(now_ms, settled)
 
-    def delegate_to(self, now_ms: int, key: packet.FlowKey, asker: str) -> bool:
+    def delegate_to(self, now_ms: int, key: packet.FlowKey, inquirer: str) -> bool:
         """Delegate a flow without a record here to the VM that inquires about it.
 
         Args:
             now_ms: Present time in milliseconds.
             key: The flow.
-            asker: Name of the VM that sent the inquiry.
+            inquirer: Name of the VM that sent the inquiry.
 
         Returns:
             False when this VM has an open inquiry about the same flow and takes
             precedence, because its name sorts first.
         """
-        if self._inquiries.is_open(key) and self._name < asker:
+        if self._inquiries.is_open(key) and self._name < inquirer:
             return False
         self._inquiries.cancel(key)
-        self._delegated.add(now_ms, key, asker)
+        self._delegated.add(now_ms, key, inquirer)
         return True
 
-    def delegate_of(self, now_ms: int, key: packet.FlowKey) -> str | None:
+    def delegated_vm(self, now_ms: int, key: packet.FlowKey) -> str | None:
         """Return the VM to which a flow is delegated, if that VM is reachable.
 
         A flow of which this VM has a record by now is no longer delegated.
@@ -179,8 +179,8 @@
             self._opener.reopen(now_ms, item, key, flow_service, record)
             return
         record.last_packet_ms = now_ms
-        silent = self._opener.should_retry(now_ms, record)
-        if record.state is flow.State.OPENING and silent:
+        try_other = self._opener.should_retry(now_ms, record)
+        if record.state is flow.State.OPENING and try_other:
             # The target has not answered the SYN and is probably dead. The home
             # has sent it only the SYN, so no work can have begun. If the target
             # answers late, the home drops its SYN-ACK as a stray packet.
@@ -237,14 +237,14 @@
                 if record is not None:
                     self._continue(arrival, record)
 
-    def _admit_datagram(self, arrival: _Arrival, answered: bool) -> None:
+    def _admit_datagram(self, arrival: _Arrival, certain: bool) -> None:
         now_ms, item, key, flow_service = arrival
-        if answered and self._guesser.all_owners_reachable(now_ms, key, flow_service):
+        if certain and self._guesser.all_owners_reachable(now_ms, key, flow_service):
             self._opener.admit(now_ms, item, key, flow_service, True)
             return
-        agreed = self._guesser.agreed_target(now_ms, key, flow_service)
-        if agreed is not None:
-            self._opener.admit(now_ms, item, key, flow_service, False, agreed)
+        chosen = self._guesser.former_home_target(now_ms, key, flow_service)
+        if chosen is not None:
+            self._opener.admit(now_ms, item, key, flow_service, False, chosen)
         else:
             self._tables.outbox.count(_COUNT.PACKETS_UNKNOWN_FLOW)
 
@@ -361,10 +361,10 @@
         now_ms, key = arrival.now_ms, arrival.key
         self._tables.flows.close(now_ms, key, record)
         self._tables.outbox.count(_COUNT.FLOWS_CLOSED)
-        self._forget(key, record)
+        self._remove_copy(key, record)
         self._opener.note_ended(now_ms, key, record, reset)
 
-    def _forget(self, key: packet.FlowKey, record: flow.Record) -> None:
+    def _remove_copy(self, key: packet.FlowKey, record: flow.Record) -> None:
         current = self._tables.epochs.current
         assert current is not None
         flow_service = current.config.services.get(record.target.service)
--- a/eelgrasswick/homes/inquiry.py
+++ b/eelgrasswick/homes/inquiry.py
@@ -81,12 +81,20 @@
                 del self._delegated[key]
 
 
-class _Open:
-    __slots__ = ("asked", "due_ms", "packets")
+class _OpenInquiry:
+    """An inquiry that is not settled yet.
 
-    def __init__(self, due_ms: int, asked: set[str], first: packet.Packet) -> None:
+    Attributes:
+        awaited: Names of the VMs whose responses are outstanding.
+        due_ms: When the response timeout expires.
+        packets: The packets of the flow that wait, in order.
+    """
+
+    __slots__ = ("awaited", "due_ms", "packets")
+
+    def __init__(self, due_ms: int, awaited: set[str], first: packet.Packet) -> None:
         self.due_ms = due_ms
-        self.asked = asked
+        self.awaited = awaited
         self.packets = [first]
 
 
@@ -96,7 +104,7 @@
     def __init__(self, peers: peer.Peers) -> None:
         """Create an empty set of inquiries, which are sent through ``peers``."""
         self._peers = peers
-        self._open: dict[packet.FlowKey, _Open] = {}
+        self._open: dict[packet.FlowKey, _OpenInquiry] = {}
 
     def append_if_open(self, key: packet.FlowKey, item: packet.Packet) -> bool:
         """Append a packet to an open inquiry; return False if there is none.
@@ -120,7 +128,7 @@
         """
         if len(self._open) >= MAX_INQUIRIES:
             return
-        self._open[key] = _Open(now_ms + RESPONSE_TIMEOUT_MS, set(names), item)
+        self._open[key] = _OpenInquiry(now_ms + RESPONSE_TIMEOUT_MS, set(names), item)
         for name in names:
             self._peers.send(name, wire.Ask(key.packed))
 
@@ -129,10 +137,10 @@
     ) -> InquiryResult | None:
         """Record one VM's response; return the result if it settles the inquiry."""
         found = self._open.get(key)
-        if found is None or sender not in found.asked:
+        if found is None or sender not in found.awaited:
             return None
-        found.asked.discard(sender)
-        if not name and found.asked:
+        found.awaited.discard(sender)
+        if not name and found.awaited:
             return None
         del self._open[key]
         return InquiryResult(key, tuple(found.packets), name, True)
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -394,8 +394,8 @@
         """
         if now_ms - record.opened_ms >= SYN_REPEAT_WINDOW_MS:
             return
-        silent = self.should_retry(now_ms, record)
-        if not (silent and self.move(now_ms, key, flow_service, record)):
+        try_other = self.should_retry(now_ms, record)
+        if not (try_other and self.move(now_ms, key, flow_service, record)):
             self._unanswered.append(
                 UnansweredOpening(now_ms + health.ANSWER_MS, key, record)
             )
--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -40,13 +40,13 @@
         name: str,
         codec: packet.PacketCodec,
         shared: tables.Tables,
-        decider: home.Home,
+        vm_home: home.Home,
     ) -> None:
         """Create the switch of the VM ``name``."""
         self._name = name
         self._codec = codec
         self._tables = shared
-        self._home = decider
+        self._home = vm_home
 
     def datagram(self, now_ms: int, event: message.FabricDatagram) -> None:
         """Handle a datagram from the fabric or a target."""
@@ -152,7 +152,7 @@
         home_name = current.locate(key, flow_service).home
         if home_name != self._name:
             return home_name
-        return self._home.delegate_of(now_ms, key) or home_name
+        return self._home.delegated_vm(now_ms, key) or home_name
 
     def _send_by_hint(
         self, now_ms: int, item: packet.Packet, key: packet.FlowKey
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -14,7 +14,7 @@
 ASKER = packet.address("10.8.0.1:5000")
 
 
-def asked(
+def facts_from(
     fleet_world: world.World, name: str, question: wire.ExplainFlow | wire.ExplainTarget
 ) -> dict[str, str]:
     """Return the facts in one VM's response, by key."""
@@ -39,8 +39,8 @@
     """Any VM must name the home of a flow, and the home must name its target."""
     key = open_flow(small_world)
     question = wire.ExplainFlow(key.packed)
-    anywhere = asked(small_world, "vm1", question)
-    home = asked(small_world, anywhere["home"], question)
+    anywhere = facts_from(small_world, "vm1", question)
+    home = facts_from(small_world, anywhere["home"], question)
     assert home["flow"] == str(key)
     assert home["service"] == "desk"
     assert home["origin"] == "placed"
@@ -55,11 +55,11 @@
     """An operator must see that a target drains and how many flows it still has."""
     key = open_flow(small_world)
     question = wire.ExplainFlow(key.packed)
-    first = asked(small_world, "vm1", question)
-    target = asked(small_world, first["home"], question)["record"]
+    first = facts_from(small_world, "vm1", question)
+    target = facts_from(small_world, first["home"], question)["record"]
     small_world.apply(rules_text + f"drain {target}  # asked by Wanjiru\n")
     small_world.run(2500)
-    facts = asked(small_world, "vm2", wire.ExplainTarget(target))
+    facts = facts_from(small_world, "vm2", wire.ExplainTarget(target))
     assert facts["draining"] == "yes"
     assert int(facts["open_here"]) + int(facts["open_elsewhere"]) == 1
     assert "a drain rule; 1 open flows stay" in facts["reason"]
@@ -77,15 +77,15 @@
 ) -> None:
     """A flow without a rule or a record must be explained and not be an error."""
     question = wire.ExplainFlow(explain.parse_flow(text).packed)
-    facts = asked(small_world, "vm1", question)
+    facts = facts_from(small_world, "vm1", question)
     if "home" in facts:
-        facts = asked(small_world, facts["home"], question)
+        facts = facts_from(small_world, facts["home"], question)
     assert reason in facts["reason"]
 
 
 def test_unknown_target_gets_a_reason(small_world: world.World) -> None:
     """A target without a rule must be explained and not be an error."""
-    facts = asked(small_world, "vm1", wire.ExplainTarget("nobody"))
+    facts = facts_from(small_world, "vm1", wire.ExplainTarget("nobody"))
     assert facts["reason"] == "no rule has this target"
 
 
