--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -1,7 +1,6 @@
-"""What is done with each packet of a caller, apart from the sockets.
+"""Handles each packet of a caller, independently of sockets and event loop.
 
-Nothing here needs an event loop, so that a VM that starts carries packets before
-its libraries are imported.
+A starting VM forwards packets before the libraries of the event loop are imported.
 """
 
 import typing
@@ -23,26 +22,28 @@
 )
 from eelgrasswick.decisions import cold_start, overload
 
-# How long it then takes to read what waits in the socket: 200 KB, 2,000 packets
-# of 100 bytes, at 25 us each.
+# Time that a VM needs after a stall to read the backlog of its socket: 200 KB are
+# 2,000 packets of 100 bytes, at 25 us each.
 BACKLOG_MS: typing.Final = 50
-# More copies of an opening packet than any caller sends: all of them are dropped.
+# A number above that of any retransmission of an opening packet. With it as the first
+# number to keep, all opening packets of the backlog are dropped.
 NO_RETRANSMISSION: typing.Final = 1 << 32
-# Forwarding is counted; a line for each packet would take the time of packets.
-_QUIET_OUTCOMES: typing.Final = frozenset({steering.Outcome.FORWARDED})
+# Forwarded packets are counted but not logged, because a log line for each packet would
+# slow down forwarding.
+_UNLOGGED_OUTCOMES: typing.Final = frozenset({steering.Outcome.FORWARDED})
 
 
 Send = typing.Callable[[bytes, model.Address], None]
 
 
 class Parts(typing.NamedTuple):
-    """What packets are carried by.
+    """Components that a carrier uses.
 
     Attributes:
         codec: Reads and writes the fabric's packets.
-        knowledge: Says how old the rest is.
+        knowledge: This VM's copy of the store, with its age.
         catalog: Routes and targets.
-        observations: What was seen of flows and targets.
+        observations: Observations of flows and targets.
         log: The log.
         stats: The counters.
     """
@@ -56,25 +57,25 @@
 
 
 class Carrier:
-    """Decides about each packet, has it sent, and accounts for it.
+    """Decides about each packet, sends the result, and logs and counts it.
 
     Attributes:
-        parts: What packets are carried by.
-        steering: Decides about them.
-        stalls: When this VM stood still.
-        began: True once packets are read that waited during the start.
-        packet_ms: When the last packet came.
+        parts: Components of the carrier.
+        steering: Decides about packets.
+        stalls: Detects stalls of this VM.
+        started: True once packets are read that were queued during the start.
+        last_packet_ms: Time when the last packet arrived.
         send: Sends a datagram to an address.
-        probe: Told of targets to probe.
+        probe: Called with each target to probe.
     """
 
     def __init__(self, zone: str, caller_port: int, parts: Parts) -> None:
-        """Carry packets for a VM.
+        """Create the carrier of a VM, which does not send yet.
 
         Args:
             zone: Availability zone of the VM.
-            caller_port: UDP port at which callers take packets.
-            parts: What packets are carried by.
+            caller_port: UDP port on which callers receive packets.
+            parts: Components of the carrier.
         """
         self.parts = parts
         self.steering = steering.Steering(
@@ -93,35 +94,49 @@
         self._log = parts.log
         self._stats = parts.stats
         self._backlog_until_ms = 0
-        self._backlog_keeps = NO_RETRANSMISSION
+        self._backlog_min_retransmission = NO_RETRANSMISSION
 
     def check_stall(self) -> int:
-        """Return the present time; notice when this VM has stood still."""
+        """Return the present time, and record a stall of this VM that has just ended.
+
+        A stall is logged, and the opening packets of the backlog are dropped.
+        """
         now_ms = clock.now_ms()
         gap_ms = self.stalls.record_activity(now_ms)
         if gap_ms > stall.PROBE_GAP_MS:
             self._observations.record_pause(now_ms)
         if gap_ms > stall.STALL_MS:
-            # Opening packets that waited are old. Their flows may be open by
-            # now, through other VMs; placed here, they would be open twice.
+            # Opening packets of the backlog are old, and other VMs may have opened
+            # their flows in the meantime. If this VM placed such a flow, it would be
+            # open twice.
             self._backlog_until_ms = now_ms + BACKLOG_MS
-            self._backlog_keeps = NO_RETRANSMISSION
+            self._backlog_min_retransmission = NO_RETRANSMISSION
             self._observations.record_stall(now_ms)
             self._log.write("woke", stood_still_ms=gap_ms)
         return now_ms
 
     def start(self, waited_ms: int) -> None:
-        """Note that packets are read from now on, which may have waited."""
+        """Record that packets are read from now on, and how long they were queued.
+
+        Args:
+            waited_ms: Time for which packets were queued during the start.
+        """
         self.stalls = stall.Stalls(clock.now_ms() - waited_ms)
         self._log.write("packets_taken", waited_ms=waited_ms)
         self.started = True
         self.check_stall()
-        # A caller sends its last copy only if nobody has answered before, and
-        # no further one; dropped, its attempt would be over.
-        self._backlog_keeps = steering.LAST_RETRANSMISSION
+        # A caller sends its last retransmission only if the packets before were not
+        # answered. If the VM dropped the last one, too, the caller's attempt would
+        # fail.
+        self._backlog_min_retransmission = steering.LAST_RETRANSMISSION
 
     def handle_packet(self, raw: bytes, host: str) -> None:
-        """Carry a packet that came from a host."""
+        """Handle a packet from a host.
+
+        Args:
+            raw: The packet as received.
+            host: IPv4 address of the sender, dotted.
+        """
         now_ms = self.check_stall()
         self.last_packet_ms = now_ms
         try:
@@ -142,8 +157,8 @@
             self.probe(decision.probe)
 
     def _too_old(self, now_ms: int, segment: model.Segment) -> bool:
-        waited = now_ms < self._backlog_until_ms
-        return waited and segment.acknowledged < self._backlog_keeps
+        in_backlog = now_ms < self._backlog_until_ms
+        return in_backlog and segment.acknowledged < self._backlog_min_retransmission
 
     def _send(self, segment: model.Segment, decision: steering.Decision) -> None:
         if decision.datagram is None:
@@ -152,7 +167,7 @@
         self.send(decision.datagram, address)
 
     def caller_address(self, flow: model.FlowId) -> model.Address:
-        """Return where the caller of a flow takes packets."""
+        """Return the address on which the caller of a flow receives packets."""
         host = ".".join(map(str, flow.caller_ip))
         return model.Address(host, self._caller_port)
 
@@ -168,7 +183,7 @@
             self._stats.observe("answer", decision.answer_ms)
         for reason in decision.withheld:
             self._stats.counts[f"flows_withheld_{reason.value}"] += 1
-        if outcome in _QUIET_OUTCOMES:
+        if outcome in _UNLOGGED_OUTCOMES:
             return
         target = decision.target
         self._log.write(
@@ -197,14 +212,15 @@
         refusals = self._observations.refusals
         if not refusals.limiting(pool):
             return {}
-        # What a refusal is decided by; a flow that was let in meanwhile has it, too.
+        # These are the figures by which refusals are decided. They are also logged for
+        # flows that were admitted during the overload.
         return {
             "of_objective": f"{refusals.ratio(pool):.2f}",
             "refused_part": f"{refusals.refused(pool):.2f}",
         }
 
     def log_overloads(self) -> None:
-        """Log which overloads have begun and ended."""
+        """Log the overloads that have begun or ended since the last call."""
         refusals = self._observations.refusals
         while refusals.changed:
             pool = refusals.changed.pop()
@@ -217,7 +233,7 @@
             )
 
     def log_ejections(self) -> None:
-        """Log which targets were ejected."""
+        """Log the targets that were ejected since the last call."""
         fresh = self._observations.ejections.fresh
         while fresh:
             item = fresh.pop()
@@ -239,12 +255,12 @@
         return own + self._observations.reports.flows_on(target.cookie)
 
     def apply_rows(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
-        """Follow rows that are new to this VM.
+        """Apply rows of the store that are new to this VM.
 
         Args:
             now_ms: Present time.
             merge: The rows.
-            origin: Who told of them.
+            origin: Name of the sender of the rows, for the log.
         """
         if not merge.rows:
             return
@@ -259,10 +275,10 @@
     reader: source.Reader,
     descriptor: int,
 ) -> Carrier:
-    """Build what carries packets.
+    """Build a carrier with its components.
 
     Args:
-        loaded: Checked settings.
+        loaded: Validated settings.
         wire: Reads and writes the fabric's packets.
         reader: Decodes the rows of the store.
         descriptor: File descriptor of the log.
@@ -288,8 +304,8 @@
 
 
 def _ignore_datagram(datagram: bytes, address: model.Address) -> None:
-    """Send nothing."""
+    """Send no datagram, before the forwarder sets the send function."""
 
 
 def _ignore_target(target: model.Target) -> None:
-    """Probe nothing."""
+    """Probe no target, before the forwarder sets the probe function."""
--- a/eelgrasswick/cookie/codec.py
+++ b/eelgrasswick/cookie/codec.py
@@ -1,4 +1,7 @@
-"""How segments look in datagrams; the platform's adapter has the one form."""
+"""Interface of the codec between datagrams and segments.
+
+The platform's adapter has the implementation.
+"""
 
 import abc
 
@@ -6,11 +9,11 @@
 
 
 class SegmentCodec(abc.ABC):
-    """Reads callers' datagrams and writes those to targets and callers."""
+    """Decodes callers' datagrams, and encodes datagrams to targets and callers."""
 
     @abc.abstractmethod
     def decode(self, datagram: bytes) -> model.Segment:
-        """Read a caller's datagram.
+        """Decode a caller's datagram.
 
         Raises:
             errors.PacketMalformedError: The bytes are no segment of a caller.
@@ -22,13 +25,14 @@
 
     @abc.abstractmethod
     def for_target(self, datagram: bytes, target: model.Target) -> bytes:
-        """Return a caller's datagram as it is sent to a target."""
+        """Return a caller's datagram in the form that is sent to a target."""
 
     @abc.abstractmethod
     def reset(self, flow: model.FlowId, acknowledged: int) -> bytes:
-        """Return the datagram that tells a caller that its flow has ended.
+        """Return the datagram that resets a caller's flow.
 
         Args:
             flow: The flow.
-            acknowledged: What its caller last acknowledged.
+            acknowledged: Position in the target's stream that the caller last
+                acknowledged.
         """
--- a/eelgrasswick/cookie/cold_targets.py
+++ b/eelgrasswick/cookie/cold_targets.py
@@ -1,4 +1,4 @@
-"""Which targets are cold, and whether a flow may go to one."""
+"""Ages of targets, and limits on new flows to cold targets."""
 
 import time
 import typing
@@ -10,11 +10,11 @@
 
 
 class Age(typing.NamedTuple):
-    """How old an incarnation of a target was when this VM first saw it.
+    """Age of an incarnation of a target when this VM first saw it.
 
     Attributes:
-        seen_ms: When this VM saw it.
-        age_ms: Its age then, at least.
+        seen_ms: Time when this VM first saw the incarnation.
+        age_ms: Lower bound of its age at that time.
     """
 
     seen_ms: int
@@ -22,49 +22,49 @@
 
 
 class Ages:
-    """When targets started, as far as a VM knows.
+    """Ages of targets, and their last suspicions, as recorded by one VM.
 
-    An entry may say that its target is not cold although it has just started, and is
-    late by up to a heartbeat.
+    The entries of targets are not sufficient: an entry may report a target that has
+    just started as warm, and it arrives up to one heartbeat late.
     """
 
     def __init__(self, unix_s: typing.Callable[[], float] = time.time) -> None:
-        """Know no target.
+        """Create an empty table.
 
         Args:
-            unix_s: Time of day; may be wrong by seconds.
+            unix_s: Returns the time of day, which may be wrong by seconds.
         """
         self._unix_s = unix_s
         self._ages: dict[int, Age] = {}
         self._suspected_ms: dict[int, int] = {}
 
     def record_entry(self, now_ms: int, target: model.Target, watched: bool) -> None:
-        """Note an entry.
+        """Record the entry of a target.
 
         Args:
             now_ms: Present time.
-            target: What the entry says.
-            watched: False when this VM hears of targets that mostly started long ago;
-                their age is then taken by the time of day.
+            target: The decoded entry.
+            watched: False when the entry comes from a listing, in which most targets
+                started long ago. The age is then computed by the time of day.
         """
         if target.cookie in self._ages:
             return
         age_ms = 0 if watched else int(1000 * self._unix_s()) - target.born_ms
-        # Below zero the time of day is wrong. All targets taken for new by it would
-        # have this VM refuse all flows.
+        # If the age is negative, the time of day is wrong. Were all targets treated as
+        # new because of it, this VM would refuse all flows.
         if age_ms >= 0:
             self._ages[target.cookie] = Age(now_ms, age_ms)
 
     def record_start(self, now_ms: int, cookie: int) -> None:
-        """Take a target for one that starts now."""
+        """Record that a target starts now."""
         self._ages[cookie] = Age(now_ms, 0)
 
     def record_suspicion(self, now_ms: int, cookie: int) -> None:
-        """Note a target that is taken for silent; it may be about to start anew."""
+        """Record that a target is suspected; it may be about to restart."""
         self._suspected_ms[cookie] = now_ms
 
     def cleared_for_ms(self, now_ms: int, cookie: int) -> int | None:
-        """Return for how long a target has not been suspected; None if it never was."""
+        """Return the time since a target's last suspicion; None if there was none."""
         at_ms = self._suspected_ms.get(cookie)
         return None if at_ms is None else now_ms - at_ms
 
@@ -74,17 +74,17 @@
         self._suspected_ms.pop(cookie, None)
 
     def age_ms(self, now_ms: int, cookie: int) -> int | None:
-        """Return how long ago a target started, at least; None if it is unknown."""
+        """Return a lower bound of a target's age; None if it is unknown."""
         known = self._ages.get(cookie)
         return None if known is None else known.age_ms + now_ms - known.seen_ms
 
 
 class Eligible(typing.NamedTuple):
-    """Targets that a flow may go to.
+    """Targets that a flow may be placed on.
 
     Attributes:
         targets: The targets.
-        left_out: True when cold ones were left out.
+        cold_excluded: True when cold targets were excluded.
     """
 
     targets: typing.Sequence[model.Target]
@@ -92,7 +92,7 @@
 
 
 class ColdTargets:
-    """Keeps flows from cold targets of services that limit them."""
+    """Limits new flows to cold targets, for the services that set a limit."""
 
     def __init__(
         self,
@@ -101,13 +101,13 @@
         cold_ms: typing.Callable[[model.Target, int], int],
         ages: Ages,
     ) -> None:
-        """Watch over the targets of a catalog.
+        """Limit the flows to the targets of a catalog.
 
         Args:
-            limits: This VM's part of the flows that cold targets take.
-            service_of: Returns a service by its name, if it is in force.
-            cold_ms: Returns how much longer a target is cold at a time.
-            ages: When targets started or came back.
+            limits: This VM's share of the flows that cold targets may take.
+            service_of: Returns a service by its name, if it is configured.
+            cold_ms: Returns how much longer a target is cold, for a given time.
+            ages: Ages and suspicions of the targets.
         """
         self.limits = limits
         self._service_of = service_of
@@ -115,7 +115,7 @@
         self._ages = ages
 
     def limit_per_s(self, name: str) -> float | None:
-        """Return what a service's cold targets bear; None without a limit."""
+        """Return the limit of flows a second per cold target; None without a limit."""
         service = self._service_of(name)
         return service.cold_flows_per_s if service is not None else None
 
@@ -125,7 +125,7 @@
         targets: typing.Sequence[model.Target],
         urgent: bool,
     ) -> Eligible:
-        """Return the warm ones of some targets, or what cold ones still take.
+        """Return the warm targets, or cold ones below their limit if none is warm.
 
         Args:
             now_ms: Present time.
@@ -136,8 +136,8 @@
         if per_s is None:
             return Eligible(targets, False)
         warm = [item for item in targets if not self._cold_ms(item, now_ms)]
-        # After a silence of a target nobody is refused for it: the silence may have
-        # been that of this VM's own link.
+        # Targets that may be cold after a suspicion are used rather than refusing the
+        # flow, because the suspicion may be due to a fault of this VM's own link.
         certain = [item for item in warm if not self._may_be_cold(now_ms, item)]
         if certain or warm:
             found = certain or warm
@@ -156,7 +156,7 @@
         return cleared_ms < service.cold_ms
 
     def record_flow(self, now_ms: int, target: model.Target) -> None:
-        """Note a flow to a target."""
+        """Record that a flow was placed on a target."""
         if self.limit_per_s(target.service) is not None and self._cold_ms(
             target, now_ms
         ):
--- a/eelgrasswick/cookie/evacuation.py
+++ b/eelgrasswick/cookie/evacuation.py
@@ -1,38 +1,38 @@
-"""Availability zones whose targets take no new flows."""
+"""Records of the availability zones whose targets take no new flows."""
 
 from eelgrasswick.cookie import model
 
 
 class Evacuations:
-    """Which availability zones the operators have evacuated.
+    """Availability zones that the operators have evacuated.
 
     Attributes:
-        zones: Their names.
+        zones: Names of the evacuated zones.
     """
 
     def __init__(self) -> None:
-        """Begin without evacuations."""
+        """Create an empty registry."""
         self.zones: frozenset[str] = frozenset()
         self._by_key: dict[str, model.Evacuation] = {}
 
     def begin(self, key: str, item: model.Evacuation) -> None:
-        """Take up an evacuation, or take it anew.
+        """Add or replace an evacuation.
 
         Args:
-            key: The row that orders it.
-            item: What the row says.
+            key: Key of the row that orders it.
+            item: The decoded row.
         """
         self._by_key[key] = item
         self._rebuild()
 
     def end(self, key: str) -> model.Evacuation | None:
-        """Return the evacuation that a row ordered, which is over now."""
+        """Remove and return the evacuation of a row, if any."""
         item = self._by_key.pop(key, None)
         self._rebuild()
         return item
 
     def covers(self, target: model.Target) -> bool:
-        """Tell whether a target is in an evacuated zone."""
+        """Return True when a target is in an evacuated zone."""
         return target.zone in self.zones
 
     def _rebuild(self) -> None:
--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -1,4 +1,4 @@
-"""The task that carries callers' packets; it owns the socket they come by."""
+"""Forwards callers' packets by the socket on which they arrive, and probes targets."""
 
 import typing
 
@@ -16,22 +16,22 @@
 
 
 class Forwarder:
-    """Carries packets, and probes targets that are in doubt.
+    """Forwards packets, and probes suspected targets.
 
     Attributes:
         port: The socket, for the reactor to listen on.
-        on_dead: Told of each target that this VM has found dead.
+        on_dead: Called with the cookie of each target that this VM has found dead.
     """
 
     def __init__(
         self, reactor: typing.Any, carrier: carrying.Carrier, failed: ports.Failed
     ) -> None:
-        """Carry packets.
+        """Create a forwarder that does not send yet.
 
         Args:
             reactor: Twisted reactor.
-            carrier: Decides about them.
-            failed: Told of datagrams that could not be sent.
+            carrier: Decides about packets.
+            failed: Called for each datagram that could not be sent.
         """
         self.port = ports.Port(carrier.handle_packet, failed)
         self.on_dead: typing.Callable[[int], None] = _ignore
@@ -44,7 +44,7 @@
         carrier.probe = self._begin_probe
 
     def begin(self) -> None:
-        """Send by the socket from now on."""
+        """Send the carrier's datagrams by the socket from now on."""
         self._carrier.send = self.port.send
 
     def _begin_probe(self, target: model.Target) -> None:
@@ -55,14 +55,14 @@
         missing = self._catalog.missing(target, now_ms)
         accepted = await probing.accepts(self._reactor, target.address)
         if not accepted and not missing:
-            await self._look_for_path(now_ms, target)
-        path_ms = self._observations.zone_answered_ms(target)
+            await self._check_path(now_ms, target)
+        zone_answered_ms = self._observations.zone_answered_ms(target)
         ended_ms = clock.now_ms()
         if self._carrier.stalls.gap_since(now_ms, ended_ms):
-            # The probe may have timed out with its answer unread.
-            path_ms, missing = knowledge.NEVER_MS, False
+            # The probe may have timed out while its answer was unread in the socket.
+            zone_answered_ms, missing = knowledge.NEVER_MS, False
         dead = self._observations.liveness.record_probe(
-            ended_ms, target.cookie, accepted, path_ms, missing
+            ended_ms, target.cookie, accepted, zone_answered_ms, missing
         )
         self._stats.counts["targets_probed"] += 1
         self._log.write(
@@ -70,21 +70,22 @@
             target=target.name,
             accepted=int(accepted),
             entry_missing=int(missing),
-            path_ms=knowledge.shown_ms(ended_ms - path_ms),
+            path_ms=knowledge.shown_ms(ended_ms - zone_answered_ms),
             flows_reset=self._reset_flows(target) if dead else 0,
         )
         if dead:
             self.on_dead(target.cookie)
 
-    async def _look_for_path(self, since_ms: int, target: model.Target) -> None:
-        # Only an answer of a neighbour tells a dead target from a cut. A VM with few
-        # flows in the zone hears none for seconds, and its callers would wait for
-        # their deadlines; so it asks a neighbour for a connection, too.
+    async def _check_path(self, since_ms: int, target: model.Target) -> None:
+        # Only an answer of another target of the zone distinguishes a dead target from
+        # a cut path. A VM with few flows in the zone may receive no such answer for
+        # seconds, and its callers would wait until their deadlines. The VM therefore
+        # probes another target of the zone, too.
         if self._observations.zone_answered_ms(target) > since_ms:
             return
-        neighbour = self._observations.other_target_in_zone(clock.now_ms(), target)
-        if neighbour is not None:
-            if await probing.accepts(self._reactor, neighbour.address):
+        other = self._observations.other_target_in_zone(clock.now_ms(), target)
+        if other is not None:
+            if await probing.accepts(self._reactor, other.address):
                 self._observations.record_zone_answer(clock.now_ms(), target.zone)
             return
         await probing.wait_for_zone_answer(
@@ -96,7 +97,7 @@
         """Probe the targets whose answers are overdue.
 
         Returns:
-            What other VMs of the zone should hear.
+            The witnesses to send to the other VMs of the zone.
         """
         targets, witnesses = self._observations.take_overdue(now_ms)
         for target in targets:
@@ -104,9 +105,9 @@
         return witnesses
 
     def probe_reported(self, cookie: int) -> None:
-        """Probe a target that another VM has found dead, if flows are open on it.
+        """Probe a target that a peer reports as dead, if flows are open on it.
 
-        The other VM may be cut off from it, so its word alone resets nothing.
+        The peer may be cut off from the target, so its report alone resets no flow.
         """
         target = self._catalog.by_cookie(cookie)
         if target is None or not self._observations.tracker.open_flows(cookie):
@@ -115,7 +116,7 @@
             defer.ensureDeferred(self._probe(target))
 
     def reset_ended_target(self, target: model.Target) -> None:
-        """Reset the flows of a target that is over for certain."""
+        """Reset the flows of a target whose address another server has taken over."""
         self._log.write(
             "target_ended",
             target=target.name,
@@ -133,4 +134,4 @@
 
 
 def _ignore(_: int) -> None:
-    """Tell nobody of a dead target."""
+    """Do nothing about a dead target."""
--- a/eelgrasswick/cookie/liveness.py
+++ b/eelgrasswick/cookie/liveness.py
@@ -1,33 +1,32 @@
-"""When a silent target counts as dead, and its flows are reset.
-
-Load pattern: a server crashes without a word while hundreds of long flows are
-open on it. Their callers send into the void: each loses the request it waits
-for, and each idle one its next request too, up to its deadline. A reset lets
-them open a new flow at once.
-
-A reset of a flow that goes on well would break it, so three things must come
-together. The target left a packet of its flows unanswered for 200 ms. A TCP
-connection to it fails, or its entry has been gone for longer than an outage of
-the store explains. And another target of its zone answers while it is probed,
-so that it is not the way there that is cut.
+"""Decides when a silent target is dead, so that its flows are reset.
+
+Load pattern: a server crashes without closing its hundreds of long flows. Each caller
+waits until its deadline for its present request, and an idle caller for its next
+request. A reset lets a caller open a new flow at once.
+
+A reset would break a working flow, so a target is dead only under three conditions.
+It left a packet of its flows unanswered for 200 ms. A TCP connection to the target
+fails. And another target of its zone answers during the probe, which excludes a cut
+of the path to the zone; an entry of the target that has been missing for longer than
+an outage of the store explains replaces this last condition.
 """
 
 import enum
 import typing
 
-# How lately another target of the zone must have answered for a probe to make sense.
+# A target is probed only if another target of its zone answered within this time.
 MAX_ZONE_ANSWER_AGE_MS: typing.Final = 1000
-# A target that accepted a connection is not asked again for so long.
+# A target that accepted a connection is not probed again for this long.
 RECHECK_INTERVAL_MS: typing.Final = 1500
-# How long a target stays dead by one probe. A server whose own link was cut looks
-# just like one that crashed, and is back without a new start. Each flow that was
-# opened on it since would be reset here. The next probe of a server that stays dead
-# costs its callers a quarter of a second.
+# A target stays dead for this long after a failed probe. A server whose own link was
+# cut looks like a crashed one, and returns without a restart; while it counts as dead,
+# this VM resets every flow that was opened on it since. The next probe of a server that
+# stays dead costs its callers a quarter of a second.
 DEAD_HOLD_MS: typing.Final = 2000
 
 
 class State(enum.Enum):
-    """What is thought of a silent target."""
+    """State of the check of a silent target."""
 
     PROBING = "probing"
     ALIVE = "alive"
@@ -43,18 +42,18 @@
     """Checks of silent targets, by cookie."""
 
     def __init__(self) -> None:
-        """Begin without checks."""
+        """Create an empty registry of checks."""
         self._checks: dict[int, _Check] = {}
 
-    def begin(self, now_ms: int, cookie: int, path_ms: int) -> bool:
-        """Take up the check of a silent target; True when to probe it now.
+    def begin(self, now_ms: int, cookie: int, zone_answered_ms: int) -> bool:
+        """Begin the check of a silent target; return True when to probe it now.
 
         Args:
             now_ms: Present time.
-            cookie: The target.
-            path_ms: When another target of its zone last answered.
+            cookie: Cookie of the target.
+            zone_answered_ms: Time when another target of its zone last answered.
         """
-        if now_ms - path_ms > MAX_ZONE_ANSWER_AGE_MS:
+        if now_ms - zone_answered_ms > MAX_ZONE_ANSWER_AGE_MS:
             return False
         check = self._checks.get(cookie)
         if check is not None and not self._over(now_ms, check):
@@ -67,22 +66,24 @@
         now_ms: int,
         cookie: int,
         accepted: bool,
-        path_ms: int,
+        zone_answered_ms: int,
         missing: bool = False,
     ) -> bool:
-        """Take the outcome of a probe; True when the target is dead from now on.
+        """Record the result of a probe; return True when the target becomes dead.
 
-        An answer in the meantime closes the check. Without an answer of another
-        target since the probe began, the way may have been cut just before, and
-        the check is dropped until the next unanswered packet. That can't be when
-        the entry has been missing for long: the target was silent well before.
+        If the target answered a packet in the meantime, its check is closed and the
+        result is ignored. If no other target of the zone answered since the probe
+        began, the path may have been cut just before, and the check is dropped until
+        the next unanswered packet. A recent cut is no explanation if the target's
+        entry has been missing for long, because the target was silent well before.
 
         Args:
             now_ms: Present time.
-            cookie: The target.
-            accepted: It accepted a connection.
-            path_ms: When another target of its zone last answered.
-            missing: Its entry has been gone for longer than an outage explains.
+            cookie: Cookie of the target.
+            accepted: True when the target accepted a connection.
+            zone_answered_ms: Time when another target of its zone last answered.
+            missing: True when its entry has been missing for longer than an outage of
+                the store explains.
         """
         check = self._checks.get(cookie)
         if check is None or check.state is not State.PROBING:
@@ -90,28 +91,28 @@
         if accepted:
             self._checks[cookie] = _Check(State.ALIVE, now_ms)
             return False
-        if path_ms <= check.since_ms and not missing:
+        if zone_answered_ms <= check.since_ms and not missing:
             del self._checks[cookie]
             return False
         self._checks[cookie] = _Check(State.DEAD, now_ms)
         return True
 
     def dead(self, now_ms: int, cookie: int) -> bool:
-        """Tell whether flows of a target are to be reset."""
+        """Return True when the flows of a target are to be reset."""
         check = self._checks.get(cookie)
         if check is None or check.state is not State.DEAD:
             return False
         return not self._over(now_ms, check)
 
     def lapsed(self, now_ms: int, cookie: int) -> bool:
-        """Tell whether a target was dead and should be probed with its next packet."""
+        """Return True when a target's dead state has expired without a new check."""
         check = self._checks.get(cookie)
         if check is None or check.state is not State.DEAD:
             return False
         return self._over(now_ms, check)
 
     def record_answer(self, cookie: int) -> bool:
-        """Close the check of a target that answered; True when it was dead."""
+        """Close the check of a target that answered; return True if it was dead."""
         check = self._checks.pop(cookie, None)
         return check is not None and check.state is State.DEAD
 
@@ -122,6 +123,6 @@
         return now_ms - check.since_ms >= holds_ms
 
     def keep(self, cookies: typing.Collection[int]) -> None:
-        """Forget all other targets."""
+        """Delete the checks of all other targets."""
         for cookie in [item for item in self._checks if item not in cookies]:
             del self._checks[cookie]
--- a/eelgrasswick/cookie/model.py
+++ b/eelgrasswick/cookie/model.py
@@ -1,16 +1,17 @@
-"""The things that packets are steered by: routes, targets and segments."""
+"""Data types of steering: routes, services, targets, flows and segments."""
 
 import functools
 import hashlib
 import types
 import typing
 
-# Above the 19,000 targets of the design size; each incarnation is hashed once.
+# Size of the cache of cookies, above the 19,000 targets of the design size, so that
+# each incarnation is hashed once.
 _MAX_COOKIES: typing.Final = 32_768
 
 
 class Address(typing.NamedTuple):
-    """Where datagrams go: dotted IPv4 address and port."""
+    """Address of datagrams: dotted IPv4 address and port."""
 
     host: str
     port: int
@@ -25,7 +26,7 @@
     service_port: int
 
     def __str__(self) -> str:
-        """Return the id as logs spell it."""
+        """Return the identifier as written in logs."""
         caller = ".".join(map(str, self.caller_ip))
         service = ".".join(map(str, self.service_ip))
         return f"{caller}:{self.caller_port}>{service}:{self.service_port}"
@@ -35,14 +36,14 @@
     """One packet of a caller.
 
     Attributes:
-        flow: Whose packet it is.
+        flow: Flow of the packet.
         opening: True for a packet that opens the flow.
-        ending: True when the caller has sent all it will send.
-        reset: True when the caller gives the flow up.
-        sequence: Position of its data in the caller's stream.
-        acknowledged: What the caller has received of the target's stream; on an
-            opening packet how many copies of it went before.
-        cookie: The target's cookie, 0 while the caller knows none.
+        ending: True when the caller will send no more data.
+        reset: True when the caller aborts the flow.
+        sequence: Position of the data in the caller's stream.
+        acknowledged: Position up to which the caller has received the target's stream;
+            on an opening packet the number of the retransmission, 0 for the original.
+        cookie: The target's cookie, 0 while the caller has received none.
         data_bytes: Length of the data.
     """
 
@@ -57,7 +58,7 @@
 
 
 class Share(typing.NamedTuple):
-    """A service's part of a route's new flows; weights are relative."""
+    """A service's share of a route's new flows; weights are relative."""
 
     service: str
     weight: float
@@ -67,11 +68,11 @@
     """An address that callers open flows to.
 
     Attributes:
-        name: The operators' name for it.
+        name: Name that the operators gave to the route.
         shares: Services that take its new flows.
-        objective_ms: Within what time its requests should be answered; 0 when
-            the operators set none.
-        priority: 0 is the most urgent.
+        objective_ms: Response time objective of its requests; 0 when the operators
+            set none.
+        priority: Priority of its flows; 0 is the most urgent.
     """
 
     name: str
@@ -81,13 +82,13 @@
 
 
 class Service(typing.NamedTuple):
-    """What the operators say of a service's targets.
+    """Configuration of a service's targets.
 
     Attributes:
-        name: Its name.
-        cold_ms: How long a target is cold after its start.
-        cold_flows_per_s: New flows a second that a cold target bears, from all VMs
-            together; None when they name no limit.
+        name: Name of the service.
+        cold_ms: Time for which a target is cold after its start.
+        cold_flows_per_s: Limit of new flows a second to a cold target, from all VMs
+            together; None when the operators set no limit.
     """
 
     name: str
@@ -99,9 +100,9 @@
     """The operators' configuration.
 
     Attributes:
-        version: Rises with each change.
-        routes: By address and port.
-        services: By name.
+        version: Number that increases with each change.
+        routes: Routes by address and port.
+        services: Services by name.
     """
 
     version: int
@@ -114,7 +115,7 @@
 
     Attributes:
         zone: The availability zone.
-        malformed: What is wrong with the row's value; empty when nothing is.
+        malformed: Fault in the row's value; empty for a valid row.
     """
 
     zone: str
@@ -125,16 +126,16 @@
     """One incarnation of one server.
 
     Attributes:
-        name: Its name in the store.
-        born_ms: Unix time of its start; tells incarnations of one name apart.
-        token: What datagrams to it begin with, so that a server which took
-            over its address does not accept them.
-        service: The service it works for.
-        address: Where it takes datagrams.
+        name: Name of the server in the store.
+        born_ms: Unix time of its start, which distinguishes incarnations of one name.
+        token: Prefix of the datagrams to it, by which a server that took over its
+            address rejects them.
+        service: Name of its service.
+        address: Address on which it receives datagrams.
         zone: Its availability zone.
-        slots: Requests it works on at the same time.
+        slots: Number of requests that it handles concurrently.
         draining: True when it must get no new flow.
-        cold_ms: How long it was still slow when it wrote its entry.
+        cold_ms: Remaining time for which it was cold when it wrote its entry.
     """
 
     name: str
@@ -155,6 +156,7 @@
 
 @functools.lru_cache(maxsize=_MAX_COOKIES)
 def _cookie(name: str, born_ms: int) -> int:
-    # Placement and the tick of each 250 ms ask for it several times a target.
+    # Placement, and the tick that runs every 250 ms, need the cookie several times per
+    # target.
     digest = hashlib.blake2b(f"{name}/{born_ms}".encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big") or 1
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -1,4 +1,4 @@
-"""What is known of the targets when a flow is placed, by this VM and by reports."""
+"""Observations of this VM and reports of its peers, by which flows are placed."""
 
 import typing
 import zlib
@@ -17,21 +17,23 @@
 )
 from eelgrasswick.decisions import cold_start, ejection, overload, response_time
 
-# How often services and routes that are gone are looked for; they are few a day, and
-# thousands are walked for them.
+# Interval at which the records of removed services and routes are deleted. Few are
+# removed a day, and the search walks thousands of targets.
 REMOVAL_INTERVAL_MS: typing.Final = 10_000
-# How often the speeds of all targets are compared; answer times change slowly.
+# Interval at which the speeds of all targets are compared. Response times change
+# slowly.
 SPEED_INTERVAL_MS: typing.Final = 1000
-# After a pause of this VM, requests look overdue whose answers lie in the socket.
+# For this long after a pause of this VM, overdue requests are ignored, because their
+# responses may still be unread in the socket.
 PAUSE_GRACE_MS: typing.Final = 1000
 
 
 class Candidates(typing.NamedTuple):
-    """Targets that a flow may go to.
+    """Targets that a flow may be placed on.
 
     Attributes:
-        items: The targets, with what is known of them.
-        cold_left_out: True when cold targets were left out.
+        candidates: The targets, with the figures by which one is chosen.
+        cold_excluded: True when cold targets were excluded.
     """
 
     candidates: list[placing.Candidate]
@@ -39,7 +41,19 @@
 
 
 class Observations:
-    """Flows, answer times and silence of all targets."""
+    """Flows, response times and unanswered packets of all targets.
+
+    Attributes:
+        tracker: The flows seen lately.
+        answer_times: Response times by target.
+        response_times: Response times by service.
+        ejections: Outlier ejection of targets.
+        refusals: Load shedding of new flows.
+        levels: Priorities of the flows of each service.
+        reports: What the peers report about targets.
+        liveness: Checks of silent targets.
+        cold: Limits on flows to cold targets.
+    """
 
     def __init__(
         self,
@@ -49,14 +63,14 @@
         vm: str = "",
         cold_limit: cold_start.Limit | None = None,
     ) -> None:
-        """Look at the targets of a catalog from a zone.
+        """Create observations without any record.
 
         Args:
             zone: Availability zone of this VM.
             known: The catalog.
             refuse: False to refuse no flow in an overload.
             vm: Identifies this VM among those of the fleet.
-            cold_limit: How far above what it bears a cold target may be loaded.
+            cold_limit: How far a cold target may be loaded above its limit.
         """
         self._zone = zone
         self._vm = zlib.crc32(vm.encode())
@@ -68,12 +82,12 @@
         self.refusals = overload.Refusals(refuse)
         self.levels = overload.Levels()
         self._sizes = overload.Sizes()
-        self._woke_ms = 0
+        self._stall_end_ms = 0
         self._paused_ms = 0
-        self._kept_ms = 0
+        self._removed_ms = 0
         self._compared_ms = -SPEED_INTERVAL_MS
         self._silence: silence.SilenceDetector[int] = silence.SilenceDetector()
-        self._stalled: silence.SilenceDetector[int] = silence.SilenceDetector()
+        self._response_silence: silence.SilenceDetector[int] = silence.SilenceDetector()
         self._zone_silence: silence.SilenceDetector[str] = silence.SilenceDetector()
         self.reports = reports.Reports()
         self.liveness = liveness.Liveness()
@@ -87,16 +101,23 @@
         self._factors: dict[int, float] = {}
 
     def candidates(
-        self, now_ms: int, service: str, passed_over: int, part: float, urgent: bool
+        self,
+        now_ms: int,
+        service: str,
+        unanswered_cookie: int,
+        part: float,
+        urgent: bool,
     ) -> Candidates:
         """Return the targets of a service that may get a flow.
 
         Args:
             now_ms: Present time.
             service: Name of the service.
-            passed_over: Cookie of a target that did not answer this flow
-                before, 0 for none; targets of other zones go first then.
-            part: Even over flows, 0 to 1; says which of many are looked at.
+            unanswered_cookie: Cookie of the target that left the opening packet of this
+                flow unanswered, 0 for none; targets of other zones are preferred
+                then.
+            part: Number from 0 to 1, uniform over flows, that selects the sample of
+                a large set of targets.
             urgent: True for the most urgent flows of the service.
         """
         accepting = placing.sample_targets(
@@ -108,59 +129,62 @@
                 self._catalog.ages.record_suspicion(now_ms, item.cookie)
             else:
                 usable.append(item)
-        # With all silent it is rather this VM's link, or the callers', that is
-        # broken; refusing all would make it worse.
+        # If all targets are silent, the link of this VM or of the callers is more
+        # likely to be broken than all targets. Refusing all flows would make the
+        # outage worse.
         usable = usable or accepting
         if not usable:
             return Candidates([])
         found = self.cold.eligible(now_ms, usable, urgent)
-        tried = self._retried(found.targets, passed_over)
-        items = [self._candidate(now_ms, item) for item in tried]
+        eligible = self._retransmission_targets(found.targets, unanswered_cookie)
+        items = [self._candidate(now_ms, item) for item in eligible]
         return Candidates(items, found.cold_excluded)
 
-    def _retried(
-        self, targets: typing.Sequence[model.Target], passed_over: int
+    def _retransmission_targets(
+        self, targets: typing.Sequence[model.Target], unanswered_cookie: int
     ) -> typing.Sequence[model.Target]:
-        """Return where an opening packet goes that is sent again.
+        """Return the targets for a retransmitted opening packet.
 
-        Targets of a zone often go dark together, and a caller sends two copies only.
+        Targets of other zones are preferred: the targets of a zone often fail
+        together, and a caller retransmits only twice.
         """
-        silent = self._catalog.by_cookie(passed_over)
+        silent = self._catalog.by_cookie(unanswered_cookie)
         if silent is None:
             return targets
         elsewhere = [item for item in targets if item.zone != silent.zone]
-        others = [item for item in targets if item.cookie != passed_over]
+        others = [item for item in targets if item.cookie != unanswered_cookie]
         return elsewhere or others or targets
 
     def record_placement(self, now_ms: int, target: model.Target) -> None:
-        """Note that a flow was sent to a target."""
+        """Record that a flow was placed on a target."""
         self._silence.record_trial(now_ms, target.cookie)
-        self._stalled.record_trial(now_ms, target.cookie)
+        self._response_silence.record_trial(now_ms, target.cookie)
         self._zone_silence.record_trial(now_ms, target.zone)
         self.cold.record_flow(now_ms, target)
 
     def record_answer(self, now_ms: int, target: model.Target) -> None:
-        """Note that a target answered."""
+        """Record that a target answered."""
         self._answered_ms[target.zone] = now_ms
         self._silence.record_answer(target.cookie)
         if self.liveness.record_answer(target.cookie):
-            # It may have crashed and be back under its entry of before.
+            # The target may have crashed and restarted while its entry in the store
+            # is still the one of the former start.
             self._catalog.ages.record_start(now_ms, target.cookie)
         if self._zone_silence.record_answer(target.zone):
-            self._way_is_back(target.zone)
+            self._clear_silence(target.zone)
 
-    def _way_is_back(self, zone: str) -> None:
-        # It was the way to the zone that was cut, not its targets that were silent.
-        # Held against them, each would get no flow until it has answered one, and
-        # the VMs that this one tells would pass them over, too.
+    def _clear_silence(self, zone: str) -> None:
+        # The path to the zone was cut, and the targets were not silent. If their
+        # records were kept, each target would get no flow until it has answered one,
+        # and the peers that receive this VM's reports would exclude the targets, too.
         for target in self._catalog.targets:
             if target.zone == zone:
                 self._silence.record_answer(target.cookie)
-                self._stalled.record_answer(target.cookie)
+                self._response_silence.record_answer(target.cookie)
 
     def record_answer_time(self, target: model.Target, answer_ms: int) -> None:
-        """Note how long a target took for an answer."""
-        self._stalled.record_answer(target.cookie)
+        """Record the response time of a target."""
+        self._response_silence.record_answer(target.cookie)
         self.answer_times.record(target.cookie, answer_ms)
         self.response_times.answered(target.service, answer_ms)
 
@@ -169,18 +193,18 @@
         now_ms: int,
         route: model.Route,
         target: model.Target,
-        signal: tracker.Measurement,
+        measurement: tracker.Measurement,
     ) -> None:
-        """Note whether an answer came within its route's objective.
+        """Record whether a response met the objective of its route.
 
-        Answers that this VM was away for, or whose request was lost on the way,
-        say nothing of their target.
+        Responses during a stall of this VM, and those whose request was
+        retransmitted, are ignored: their times do not depend on the target alone.
         """
-        answer_ms = signal.answer_ms
+        answer_ms = measurement.answer_ms
         if answer_ms is None or not route.objective_ms:
             return
-        refused = self._sizes.refused(route.name, signal.answer_bytes)
-        if signal.request_retransmitted or now_ms - answer_ms < self._woke_ms:
+        refused = self._sizes.refused(route.name, measurement.answer_bytes)
+        if measurement.request_retransmitted or now_ms - answer_ms < self._stall_end_ms:
             return
         levels = self.levels.rank(target.service, route.priority).levels
         pool = overload.Pool(target.service, target.zone)
@@ -188,32 +212,33 @@
         self.refusals.answered(now_ms, pool, ratio, refused, levels)
 
     def record_stall(self, now_ms: int) -> None:
-        """Note that this VM has stood still until now."""
-        self._woke_ms = now_ms
+        """Record the end of a stall of this VM."""
+        self._stall_end_ms = now_ms
 
     def record_pause(self, now_ms: int) -> None:
-        """Note that this VM did nothing for a while, shorter than a stand-still."""
+        """Record a pause of this VM, which may be shorter than a stall."""
         self._paused_ms = now_ms
 
     def record_unanswered(self, now_ms: int, target: model.Target) -> bool:
-        """Note an unanswered packet; True when the target should be probed."""
+        """Record an unanswered packet; return True when to probe the target."""
         if target.zone != self._zone:
             self._zone_silence.record_unanswered(now_ms, target.zone)
         self._silence.record_unanswered(now_ms, target.cookie)
-        # A VM of a large fleet has one flow on a target, and a second sign takes
-        # 400 ms more; asking for a connection costs little and decides.
+        # A VM of a large fleet has about one flow on a target, and a second unanswered
+        # packet takes 400 ms more. A probe is cheap and gives a definite result.
         return self.begin_check(now_ms, target)
 
     def take_overdue(
         self, now_ms: int
     ) -> tuple[list[model.Target], list[ejection.Witness]]:
-        """Note requests that wait for too long.
+        """Take the requests that became overdue, and record them.
 
-        A target that hangs still opens flows, so that openings are no sign of life
-        here; only answers are.
+        A target that hangs still opens flows, so only responses count as signs of
+        life here, and openings do not.
 
         Returns:
-            The targets to probe, and what other VMs of the zone should hear.
+            The targets to probe, and the witnesses to send to the other VMs of the
+            zone.
         """
         found = []
         witnesses = []
@@ -222,28 +247,32 @@
             if target is None:
                 continue
             item = ejection.Witness(request.cookie, self._vm, 0)
-            sign = not request.flows_moved and self._is_sign(now_ms, target)
-            if sign and self.record_witness(now_ms, item):
+            is_evidence = not request.flows_moved and self._is_evidence(now_ms, target)
+            if is_evidence and self.record_witness(now_ms, item):
                 witnesses.append(item)
             if request.first_request:
                 continue
-            self._stalled.record_unanswered(now_ms, request.cookie)
+            self._response_silence.record_unanswered(now_ms, request.cookie)
             if self.begin_check(now_ms, target):
                 found.append(target)
         return found, witnesses
 
     def record_witness(self, now_ms: int, item: ejection.Witness) -> bool:
-        """Take a witness of this or another VM; True when others should hear of it."""
+        """Record a witness of this VM or of a peer.
+
+        Returns:
+            True when the witness is to be sent to the other VMs of the zone.
+        """
         if self._catalog.by_cookie(item.cookie) is None:
             return False
         salt = f"{item.cookie} {self._vm}".encode()
         return self.ejections.witness(now_ms, item, zlib.crc32(salt) / 2**32)
 
-    def _is_sign(self, now_ms: int, target: model.Target) -> bool:
-        """Tell whether an overdue request says something of its target.
+    def _is_evidence(self, now_ms: int, target: model.Target) -> bool:
+        """Return True when an overdue request is evidence against its target.
 
-        Not when this VM did nothing for a while, when the way to the zone is cut, or
-        when the service often takes that long.
+        An overdue request is no evidence when this VM has just paused, when the path
+        to the zone is cut, or when the service often takes that long.
         """
         if now_ms - self._paused_ms < PAUSE_GRACE_MS:
             return False
@@ -264,40 +293,40 @@
         return [item for item in targets if item.cookie in allowed]
 
     def should_reprobe(self, now_ms: int, target: model.Target) -> bool:
-        """Tell whether to probe a target that was dead and may be back."""
+        """Return True when to probe a target whose dead state has expired."""
         lapsed = self.liveness.lapsed(now_ms, target.cookie)
         return lapsed and self.begin_check(now_ms, target)
 
     def begin_check(self, now_ms: int, target: model.Target) -> bool:
-        """Take up the check of a target in doubt; True when to probe it now."""
+        """Begin the check of a suspected target; return True when to probe it now."""
         return self.liveness.begin(now_ms, target.cookie, self.zone_answered_ms(target))
 
     def zone_answered_ms(self, target: model.Target) -> int:
-        """Return when a target of the same zone last answered."""
+        """Return the time when a target of the same zone last answered."""
         return self._answered_ms.get(target.zone, knowledge.NEVER_MS)
 
     def record_zone_answer(self, now_ms: int, zone: str) -> None:
-        """Note that a target of a zone has answered."""
+        """Record that a target of a zone has answered."""
         self._answered_ms[zone] = now_ms
 
     def other_target_in_zone(
         self, now_ms: int, target: model.Target
     ) -> model.Target | None:
-        """Return another target of the same zone that is not in doubt."""
+        """Return another target of the same zone that is not suspected, if any."""
         for item in self._catalog.targets:
-            apart = item.zone != target.zone or item.cookie == target.cookie
-            if not apart and not self._suspected(now_ms, item):
+            excluded = item.zone != target.zone or item.cookie == target.cookie
+            if not excluded and not self._suspected(now_ms, item):
                 return item
         return None
 
     def tick(self, now_ms: int) -> None:
-        """Bring sums and speeds up to date; forget targets that are gone."""
+        """Update sums and speed factors, and forget removed targets and old flows."""
         self.tracker.expire(now_ms)
         self.reports.tick(now_ms)
         cookies = {item.cookie for item in self._catalog.targets}
         self.answer_times.keep(cookies)
         self._silence.keep(cookies)
-        self._stalled.keep(cookies)
+        self._response_silence.keep(cookies)
         self.liveness.keep(self._catalog.remembered)
         self.ejections.keep(now_ms, cookies)
         self.cold.limits.keep(cookies)
@@ -314,9 +343,9 @@
             self._factors.update(speed.speed_factors(means_ms))
 
     def _keep_refusals(self, now_ms: int) -> None:
-        if now_ms - self._kept_ms < REMOVAL_INTERVAL_MS:
+        if now_ms - self._removed_ms < REMOVAL_INTERVAL_MS:
             return
-        self._kept_ms = now_ms
+        self._removed_ms = now_ms
         targets = self._catalog.targets
         self.refusals.keep({overload.Pool(item.service, item.zone) for item in targets})
         config = self._catalog.config
@@ -325,21 +354,26 @@
         self.response_times.keep({item.service for item in targets})
 
     def report(self) -> reports.Report:
-        """Return what the other VMs should know, the fullest targets in front."""
-        # Of thousands of targets a VM has flows on some; the rest is not looked at.
-        known = self.tracker.targets() | self._silence.keys() | self._stalled.keys()
+        """Return the report for the peers, silent and then fullest targets first."""
+        # A VM has flows on few of the thousands of targets, so it does not walk the
+        # others.
+        known = (
+            self.tracker.targets()
+            | self._silence.keys()
+            | self._response_silence.keys()
+        )
         entries = [self._entry(cookie) for cookie in known]
-        told = [item for item in entries if item.flows or item.silent]
-        told.sort(key=lambda item: (item.silent, item.flows), reverse=True)
-        return tuple(told[: reports.MAX_ENTRIES])
+        listed = [item for item in entries if item.flows or item.silent]
+        listed.sort(key=lambda item: (item.silent, item.flows), reverse=True)
+        return tuple(listed[: reports.MAX_ENTRIES])
 
     def _silent(self, cookie: int) -> bool:
         target = self._catalog.by_cookie(cookie)
         if target is not None and self._zone_silence.silent(target.zone):
-            # The way there is cut. VMs with another way would pass over targets
-            # that answer them.
+            # The path to the zone is cut. If this VM reported the targets as silent,
+            # VMs with another path would exclude targets that answer them.
             return False
-        return self._silence.silent(cookie) or self._stalled.silent(cookie)
+        return self._silence.silent(cookie) or self._response_silence.silent(cookie)
 
     def _entry(self, cookie: int) -> reports.Entry:
         mean_ms = self.answer_times.mean_ms(cookie)
@@ -352,12 +386,13 @@
 
     def _suspected(self, now_ms: int, target: model.Target) -> bool:
         if self.liveness.dead(now_ms, target.cookie):
-            # Also not for a trial: its flow would be reset with the next packet.
+            # A dead target gets no trial flow either, because the flow would be reset
+            # with its next packet.
             return True
         witnesses = self.reports.silent_for(now_ms, target.cookie)
         silent = any(
-            book.suspected(now_ms, target.cookie, witnesses)
-            for book in (self._silence, self._stalled)
+            detector.suspected(now_ms, target.cookie, witnesses)
+            for detector in (self._silence, self._response_silence)
         )
         return silent or self._zone_silence.suspected(now_ms, target.zone, 0)
 
--- a/eelgrasswick/cookie/owners.py
+++ b/eelgrasswick/cookie/owners.py
@@ -1,14 +1,14 @@
-"""Whose address another server has now, so that its flows are over for certain.
+"""Detects targets that have ended because another server took over their address.
 
-A server that crashed leaves its entry, and a while later its address may be
-another's, which accepts connections: a probe then finds the dead one alive, and
-its callers wait until their deadlines. The entry of the other server proves that
-the former is gone. Its flows are reset at once, also those that pause just now, so
-that their callers' next requests open new ones.
+The entry of a crashed server remains in the store, and a while later its address may
+belong to another server, which accepts connections. A probe of the dead server then
+succeeds, and its callers wait until their deadlines. The entry of the new server
+proves that the former one has ended. The flows of the former server are reset at
+once, including idle ones, so that their callers open new flows for the next requests.
 
-A new start under the same name proves no such thing. Flows that were opened since,
-by VMs that had not heard of it, bear the cookie of the former start and are open:
-the server takes what is addressed to its name.
+A restart under the same name is no such proof. VMs that have not received the new
+entry still open flows with the cookie of the former start, and these flows work,
+because the server accepts what is addressed to its name.
 """
 
 import typing
@@ -21,37 +21,37 @@
     revision: int
 
     def follows(self, other: "_Owner") -> bool:
-        """Tell whether this one had the address after the other.
+        """Return True when this owner certainly had the address after the other.
 
-        Starts are told by the servers' own clocks, which may be wrong by seconds,
-        and an entry of the former may have been written late. Only when both
-        agree is it certain.
+        Start times are taken from the servers' own clocks, which may be wrong by
+        seconds, and an entry of the former owner may have been written late. The
+        order is certain only if start times and revisions agree.
         """
         later = self.target.born_ms > other.target.born_ms
         return later and self.revision > other.revision
 
 
 class Owners:
-    """The last owner of each address, and who has lost theirs."""
+    """Last owner of each address, and targets that have lost their address."""
 
     def __init__(self) -> None:
-        """Begin without servers."""
+        """Create an empty registry."""
         self._owners: dict[model.Address, _Owner] = {}
         self._ended: set[int] = set()
 
     def ended(self, cookie: int) -> bool:
-        """Tell whether a target is over for certain."""
+        """Return True when another server has taken over a target's address."""
         return cookie in self._ended
 
     def record_entry(self, target: model.Target, revision: int) -> list[model.Target]:
-        """Take an entry of a server that its service's flows may go to.
+        """Record the entry of a server that takes flows of its service.
 
         Args:
-            target: What it says.
-            revision: The store's revision of it.
+            target: The decoded entry.
+            revision: The store's revision of the entry.
 
         Returns:
-            The targets that are over by it.
+            The targets that the entry newly shows to have ended.
         """
         over = self._claim(_Owner(target, revision))
         new = [item for item in over if item.cookie not in self._ended]
@@ -59,7 +59,7 @@
         return new
 
     def forget(self, target: model.Target) -> None:
-        """Forget a target whose flows can't be open any more."""
+        """Delete the records of a target that can't have open flows any more."""
         self._ended.discard(target.cookie)
         owner = self._owners.get(target.address)
         if owner is not None and owner.target.cookie == target.cookie:
--- a/eelgrasswick/cookie/placing.py
+++ b/eelgrasswick/cookie/placing.py
@@ -1,45 +1,49 @@
-"""Which target a new flow goes to, for flows that name their target.
-
-Load pattern: long flows of unequal zones on targets of unequal speed. A new
-flow stays in its own availability zone unless that zone's targets are much
-fuller than those elsewhere: a cut between zones then breaks few flows, and a
-burst in one zone, or a zone that has lost targets, is carried by the others.
-Inside a zone one of two targets gets it (Mitzenmacher, "The Power of Two Choices in
-Randomized Load Balancing", 2001): all VMs know late figures, and if each chose the
-best of all they would fill it in turn. It is the one where it waits the shortest by
-the requests of this VM, which are known at once. Flows of other VMs count little:
-those that last for one request are over when they are heard of, and VMs that follow
-the same old counts send all flows to the same target until the next ones.
+"""Chooses the target of a new flow, for flows that carry their target's cookie.
+
+Load pattern: zones with unequal numbers of long flows, on targets of unequal speed.
+A new flow stays in the availability zone of its VM unless that zone's targets are
+much fuller than those of other zones. A cut between zones then breaks few flows, and
+the other zones absorb a burst in one zone or the loss of some of its targets.
+
+Inside a zone the better of two random targets gets the flow (Mitzenmacher, "The
+Power of Two Choices in Randomized Load Balancing", 2001). The figures of all VMs are
+delayed, and if every VM chose the best target of all, the VMs would overload one
+target after the other. The better target is the one with the shorter expected wait,
+mostly by this VM's own waiting requests, which are counted without delay. Flows of
+other VMs have a low weight: flows of a single request have ended when their report
+arrives, and VMs that all followed the same old counts would send all flows to the
+same target until the next reports.
 """
 
 import typing
 
 from eelgrasswick.cookie import model
 
-# How much fuller than elsewhere the own zone may be: by half, and two flows for
-# each slot. Of two zones with two and three targets for the same callers the
-# first is fuller by half; that alone should not send flows over a link that may
-# be cut.
+# A flow leaves the VM's zone when the zone's flows per slot exceed SPILL_FACTOR times
+# those of the other zones plus SPILL_SLACK. Of two zones with two and three targets
+# for the same number of callers, the first is fuller by half; this difference alone
+# should not send flows over a link that may be cut.
 SPILL_FACTOR: typing.Final = 1.5
 SPILL_SLACK: typing.Final = 2.0
-# Part of the time for which a flow waits for an answer: callers pause for some
-# hundred milliseconds between the requests of a long flow.
+# Assumed fraction of its lifetime for which a flow waits for a response. Callers pause
+# for some hundred milliseconds between the requests of a long flow.
 WAITING_SHARE: typing.Final = 0.1
-# So many targets of the own zone, and of the others, are looked at for one flow. Two
-# are compared, and the mean fill of so many is known well enough to spill by. Looking
-# at thousands would hold up the packets behind.
+# Number of targets of the VM's zone, and of the other zones together, that are
+# considered for one flow. Only two of them are compared, and the mean fill of this
+# many is accurate enough to decide whether the flow leaves the zone. Considering
+# thousands of targets would delay the packets that follow.
 SAMPLE_SIZE: typing.Final = 64
-# Part of its usual speed at which a server works that has just started.
+# Speed of a target that has just started, as a fraction of its usual speed.
 COLD_FACTOR: typing.Final = 0.6
 
 
 class Draws(typing.NamedTuple):
-    """Numbers from 0 to 1 that are even over flows, one for each chance.
+    """Pseudo-random numbers from 0 to 1, uniform over flows.
 
     Attributes:
-        first: Chooses the first of two targets.
-        second: Chooses the second.
-        refuse: Decides whether it is refused.
+        first: Selects the first of two targets.
+        second: Selects the second of two targets.
+        refuse: Compared with the fraction of flows to be refused.
     """
 
     first: float
@@ -52,10 +56,10 @@
 
     Attributes:
         target: The target.
-        flows: Flows that are known to be on it.
-        speed: What its slots are to be multiplied with.
+        flows: Number of its flows, by this VM and by reports.
+        speed_factor: Factor by which its slots are multiplied.
         cold: True while it is slow after its start.
-        in_hand: Flows of this VM that wait for its answer.
+        waiting_flows: Flows of this VM that wait for a response of the target.
     """
 
     target: model.Target
@@ -66,15 +70,15 @@
 
     @property
     def capacity(self) -> float:
-        """Requests it works on at the speed of a usual slot."""
+        """Capacity in slots of usual speed."""
         cold = COLD_FACTOR if self.cold else 1.0
         return max(1, self.target.slots) * self.speed_factor * cold
 
     @property
     def load(self) -> float:
-        """Requests that one more would wait with, for each unit of strength.
+        """Expected number of requests per unit of capacity, with one more request.
 
-        Those of other VMs are not known but from their flows.
+        Requests of other VMs are estimated from their numbers of flows.
         """
         return (1 + self.waiting_flows + WAITING_SHARE * self.flows) / self.capacity
 
@@ -85,9 +89,9 @@
     """Choose the target of a new flow.
 
     Args:
-        candidates: Targets that may get it.
+        candidates: Targets that may get the flow.
         zone: Availability zone of this VM.
-        draws: Decide by chance.
+        draws: Pseudo-random numbers of the flow.
 
     Returns:
         The target, or None when there is no candidate.
@@ -99,18 +103,19 @@
     chosen = own or others
     if not chosen:
         return None
-    return _less_full(chosen, draws).target
+    return _less_loaded(chosen, draws).target
 
 
 def sample_targets(
     targets: typing.Sequence[model.Target], zone: str, part: float
 ) -> list[model.Target]:
-    """Return the targets that are looked at for a flow, the own zone's in front.
+    """Return the targets that are considered for a flow, this VM's zone first.
 
     Args:
-        targets: All that take flows.
+        targets: All targets that take flows.
         zone: Availability zone of this VM.
-        part: Even over flows, 0 to 1; each target is looked at as often as others.
+        part: Number from 0 to 1, uniform over flows, so that all targets of a group
+            are considered equally often.
     """
     own = [item for item in targets if item.zone == zone]
     others = [item for item in targets if item.zone != zone]
@@ -118,11 +123,12 @@
 
 
 def pick_service(shares: typing.Sequence[model.Share], fraction: float) -> str:
-    """Return the service that a part of a route's flows goes to.
+    """Return the service of a flow, in proportion to the weights of a route.
 
     Args:
         shares: The route's services, at least one.
-        fraction: Even over flows and the same for all packets of one, 0 to 1.
+        fraction: Number from 0 to 1, uniform over flows and the same for all packets
+            of one flow.
     """
     total = sum(item.weight for item in shares)
     left = fraction * total
@@ -146,7 +152,7 @@
     return flows / sum(item.capacity for item in candidates)
 
 
-def _less_full(candidates: typing.Sequence[Candidate], draws: Draws) -> Candidate:
+def _less_loaded(candidates: typing.Sequence[Candidate], draws: Draws) -> Candidate:
     first = int(draws.first * len(candidates)) % len(candidates)
     if len(candidates) == 1:
         return candidates[first]
--- a/eelgrasswick/cookie/silence.py
+++ b/eelgrasswick/cookie/silence.py
@@ -1,28 +1,30 @@
-"""Which targets are passed over because they leave packets unanswered.
-
-Load pattern: a server crashes without a word, and its entry stays in the store
-for three heartbeats. A target answers an opening packet at once, so a copy of
-that packet, which callers send after 200 ms, tells that the first one was lost
-or the target is silent; so does data that is sent again while none of the
-target's flows moves on.
-
-Any answer begins the count anew, so that packets lost by chance seldom add up. What
-one VM sees may be its own link, so others count as witnesses of the same weight, and
-when all targets are silent none is passed over.
-
-A zone that is cut off makes all its targets silent at once. Found out one by
-one, each costs two callers 200 ms and more; so zones have a detector of their
-own, where packets to any targets of the zone count.
+"""Detects targets and zones that leave packets unanswered.
+
+Load pattern: a server crashes without closing its flows, and its entry stays in the
+store for three heartbeats. A target answers an opening packet at once. A
+retransmission of that packet, which callers send after 200 ms, therefore means that
+the first packet was lost or the target is silent. The same holds for retransmitted
+data while none of the target's flows makes progress.
+
+Any answer resets the count, so that packets lost by chance rarely add up. The fault
+may lie in the link of one VM, so reports of other VMs count as witnesses with the
+same weight as own unanswered packets, and when all targets are silent none of them
+is excluded.
+
+A zone that is cut off makes all its targets silent at once. If each target were
+detected separately, each would cost two callers 200 ms and more. Zones therefore have
+a detector of their own, which counts packets to all targets of the zone.
 """
 
 import typing
 
-# What silence is noted of: the cookie of a target or the name of a zone.
+# The key of a record is the cookie of a target or the name of a zone.
 Key = typing.TypeVar("Key", int, str)
 
-# Packets in a row, of this VM or by the word of others.
+# A target or zone is silent after this many unanswered packets in a row, where each
+# witness counts as one packet.
 SILENT_AFTER_PACKETS: typing.Final = 2
-# A silent target is tried with one flow each time this has passed.
+# A silent target or zone gets one trial flow per interval.
 TRIAL_INTERVAL_MS: typing.Final = 1000
 
 
@@ -36,43 +38,43 @@
 
 
 class SilenceDetector(typing.Generic[Key]):
-    """Unanswered packets in a row, by target or zone."""
+    """Counts unanswered packets in a row, by target or zone."""
 
     def __init__(self) -> None:
-        """Begin with everyone answering."""
-        self._observations: dict[Key, _State] = {}
+        """Create a detector without unanswered packets."""
+        self._states: dict[Key, _State] = {}
 
     def record_answer(self, key: Key) -> bool:
-        """Note an answer; True when it was passed over."""
-        state = self._observations.pop(key, None)
+        """Record an answer; return True when the key was silent."""
+        state = self._states.pop(key, None)
         return state is not None and state.unanswered >= SILENT_AFTER_PACKETS
 
     def record_unanswered(self, now_ms: int, key: Key) -> bool:
-        """Note an unanswered packet; True when it is passed over from now on."""
-        state = self._observations.setdefault(key, _State())
+        """Record an unanswered packet; return True when the key becomes silent."""
+        state = self._states.setdefault(key, _State())
         state.unanswered += 1
         state.last_ms = now_ms
         state.trial_ms = now_ms
         return state.unanswered == SILENT_AFTER_PACKETS
 
     def silent(self, key: Key) -> bool:
-        """Tell whether this VM itself takes one for silent."""
-        state = self._observations.get(key)
+        """Return True when a key is silent by this VM's own packets."""
+        state = self._states.get(key)
         return state is not None and state.unanswered >= SILENT_AFTER_PACKETS
 
     def keys(self) -> typing.AbstractSet[Key]:
-        """Return those that left something unanswered."""
-        return self._observations.keys()
+        """Return the keys with unanswered packets."""
+        return self._states.keys()
 
     def suspected(self, now_ms: int, key: Key, witnesses: int) -> bool:
-        """Tell whether one should get no flow now.
+        """Return True when a target or zone is to get no flow now.
 
         Args:
             now_ms: Present time.
             key: The target or zone.
-            witnesses: Other VMs that lately found it silent.
+            witnesses: Number of other VMs that lately reported it as silent.
         """
-        state = self._observations.get(key)
+        state = self._states.get(key)
         own = state.unanswered if state is not None else 0
         if own + witnesses < SILENT_AFTER_PACKETS:
             return False
@@ -81,12 +83,12 @@
         return now_ms - state.trial_ms < TRIAL_INTERVAL_MS
 
     def record_trial(self, now_ms: int, key: Key) -> None:
-        """Note that a flow was placed there."""
-        state = self._observations.get(key)
+        """Record that a flow was placed on a target or zone."""
+        state = self._states.get(key)
         if state is not None and state.unanswered >= SILENT_AFTER_PACKETS:
             state.trial_ms = now_ms
 
     def keep(self, keys: typing.Collection[Key]) -> None:
-        """Forget all others."""
-        for key in [item for item in self._observations if item not in keys]:
-            del self._observations[key]
+        """Delete the records of all other keys."""
+        for key in [item for item in self._states if item not in keys]:
+            del self._states[key]
--- a/eelgrasswick/cookie/speed.py
+++ b/eelgrasswick/cookie/speed.py
@@ -1,27 +1,31 @@
-"""How fast targets answer, by what callers acknowledge.
+"""Response times of targets, measured by the acknowledgements of callers.
 
-Load pattern: servers bought over years whose claimed slots say nothing of
-their speed. With equal shares the slow ones queue while the fast ones idle. A
-target's answer time holds both its work and its queue, so a share that is
-inverse to it falls as the queue grows and rises again when it is gone.
+Load pattern: servers of different age whose configured slots do not reflect their
+speed. With equal shares, requests queue at the slow servers while the fast ones are
+idle. A target's response time includes both its work and its queue, so a share
+inverse to the response time falls as the queue grows and rises again when the queue
+is gone.
 """
 
 import typing
 
+# Weight of a new sample in the exponentially weighted moving average.
 SMOOTHING: typing.Final = 0.1
-# Answers before a mean counts; work times differ by half of their mean.
+# A mean is used after this many samples, because work times differ by half of their
+# mean.
 MIN_SAMPLES: typing.Final = 8
-# What a target can gain or lose by few answers, or late ones, at most.
+# Bounds of a speed factor. They limit what a target can gain or lose by few or late
+# samples.
 MIN_FACTOR: typing.Final = 0.35
 MAX_FACTOR: typing.Final = 1.6
 
 
 class SmoothedAnswerTime(typing.NamedTuple):
-    """Smoothed answer time of a target.
+    """Smoothed response time of a target.
 
     Attributes:
-        mean_ms: Smoothed time to the first acknowledged part of an answer.
-        samples: Number of answers that went into it.
+        mean_ms: Smoothed time to the first acknowledged part of a response.
+        samples: Number of responses that were measured.
     """
 
     mean_ms: float
@@ -29,51 +33,52 @@
 
 
 class AnswerTimes:
-    """Answer times by cookie, as this VM sees them."""
+    """Response times by cookie, as measured by this VM."""
 
     def __init__(self) -> None:
-        """Know no target."""
+        """Create an empty table."""
         self._answers: dict[int, SmoothedAnswerTime] = {}
 
     def record(self, cookie: int, answer_ms: int) -> None:
-        """Note how long an answer took."""
+        """Record the time of one response."""
         known = self._answers.get(cookie)
         if known is None:
             self._answers[cookie] = SmoothedAnswerTime(float(answer_ms), 1)
             return
-        # The first answers are averaged, so that one slow one at the start does
-        # not count for long.
+        # The first samples are averaged with equal weights, so that a slow response
+        # at the start does not dominate the mean for long.
         part = max(SMOOTHING, 1 / (known.samples + 1))
         mean_ms = known.mean_ms + part * (answer_ms - known.mean_ms)
         self._answers[cookie] = SmoothedAnswerTime(mean_ms, known.samples + 1)
 
     def mean_ms(self, cookie: int) -> float | None:
-        """Return a target's smoothed answer time, once enough is known."""
+        """Return a target's smoothed response time; None with too few samples."""
         known = self._answers.get(cookie)
         if known is None or known.samples < MIN_SAMPLES:
             return None
         return max(1.0, known.mean_ms)
 
     def keep(self, cookies: typing.Collection[int]) -> None:
-        """Forget all other targets."""
+        """Delete the records of all other targets."""
         for cookie in [item for item in self._answers if item not in cookies]:
             del self._answers[cookie]
 
 
 def speed_factors(means_ms: typing.Mapping[int, float | None]) -> dict[int, float]:
-    """Return what each target's slots are to be multiplied with.
+    """Return the factor for the slots of each target.
 
     Args:
-        means_ms: Answer times of the targets of one service, None for unknown.
+        means_ms: Response times of the targets of one service by cookie, None for
+            unknown ones.
 
     Returns:
-        By cookie, 1 for a target of usual or unknown speed.
+        The factors by cookie, 1 for a target of usual or unknown speed.
     """
     known = [value for value in means_ms.values() if value is not None]
     if len(known) < 2:
         return dict.fromkeys(means_ms, 1.0)
-    # The mean of speeds, not of times: one very slow target would make all
-    # others look fast.
+    # This is the harmonic mean of the times, which averages speeds. With the
+    # arithmetic mean, one very slow target would make all others look fast.
     usual_ms = len(known) / sum(1 / value for value in known)
     return {
         cookie: 1.0 if value is None else _factor(usual_ms, value)
--- a/eelgrasswick/cookie/stall.py
+++ b/eelgrasswick/cookie/stall.py
@@ -1,36 +1,42 @@
-"""Whether this VM has stood still, and since when.
+"""Detects stalls of this VM.
 
-A VM that was suspended, or that its neighbours keep from the processor, runs its
-timers before it reads what came meanwhile. A probe then times out although its
-answer lies in the socket, and packets that waited look new.
+After a VM was suspended, or got no processor time because of other virtual machines
+on its host, its timers run before it reads the packets that arrived in the meantime.
+A probe then times out although its answer is in the socket, and queued packets look
+new.
 """
 
 import typing
 
-# A VM that did nothing for so long was suspended or stood still. Its callers
-# have sent copies by then, and the fabric has begun to leave it out.
+# A VM without activity for longer than this was suspended or stalled. Its callers have
+# retransmitted by then, and the fabric has begun to exclude the VM.
 STALL_MS: typing.Final = 400
-# A gap that leaves too little of a probe's 250 ms. In good times something is done
-# each 100 ms at least.
+# A gap longer than this leaves too little of a probe's time-out of 250 ms. Without a
+# fault a VM is active at least every 100 ms.
 PROBE_GAP_MS: typing.Final = 175
 
 
 class Stalls:
-    """Gaps between the moments at which this VM did something."""
+    """Gaps between the activities of this VM."""
 
     def __init__(self, now_ms: int) -> None:
-        """Begin awake."""
-        self._awake_ms = now_ms
+        """Create a detector whose last activity is now."""
+        self._active_ms = now_ms
         self._long_gap_ms = now_ms
 
     def record_activity(self, now_ms: int) -> int:
-        """Note that this VM does something; return for how long it did nothing."""
-        gap_ms = now_ms - self._awake_ms
-        self._awake_ms = now_ms
+        """Record an activity; return the time since the previous one in ms."""
+        gap_ms = now_ms - self._active_ms
+        self._active_ms = now_ms
         if gap_ms > PROBE_GAP_MS:
             self._long_gap_ms = now_ms
         return gap_ms
 
     def gap_since(self, begun_ms: int, now_ms: int) -> bool:
-        """Tell whether a timer that began then may have run out for a gap."""
-        return self._long_gap_ms > begun_ms or now_ms - self._awake_ms > PROBE_GAP_MS
+        """Return True when a gap may have made a timer expire.
+
+        Args:
+            begun_ms: Time when the timer was started.
+            now_ms: Present time.
+        """
+        return self._long_gap_ms > begun_ms or now_ms - self._active_ms > PROBE_GAP_MS
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -1,4 +1,4 @@
-"""What happens to each packet of a caller."""
+"""Decides for each packet of a caller whether and where to forward it."""
 
 import enum
 import hashlib
@@ -8,21 +8,23 @@
 from eelgrasswick.cookie import catalog, codec, model, observations, placing, tracker
 from eelgrasswick.decisions import overload
 
-# While knowledge is older, a route that is not known may be one that was just
-# added. Two seconds are within the three in which a change is to be in force
-# and above the age that a watched store leaves.
+# An unknown route may have just been added if the catalog is older than this. Two
+# seconds are less than the three seconds in which a change has to take effect, and
+# more than the age that the catalog reaches while the watch of the store works.
 MAX_CATALOG_AGE_MS: typing.Final = 2000
-# Callers send a copy 200 ms after an opening packet. One that is seen sooner
-# has waited together with the first, and does not say that it got no answer.
+# Callers retransmit an opening packet after 200 ms. A retransmission that arrives
+# sooner was queued together with the first packet, and is no sign that the target
+# left the first packet unanswered.
 MIN_RETRANSMISSION_MS: typing.Final = 120
-# The copies are numbered from 0; this is the number of the last one, 600 ms later.
+# The number of the last retransmission of an opening packet, which callers send
+# 600 ms after the one before. The original packet has number 0.
 LAST_RETRANSMISSION: typing.Final = 2
-_PARTS: typing.Final = 2**16
+_LOW_BITS: typing.Final = 2**16
 _NUMBERS: typing.Final = struct.Struct(">III")
 
 
 class Outcome(enum.Enum):
-    """What was done with a packet."""
+    """Result of the decision about a packet, as logged and counted."""
 
     FORWARDED = "forwarded"
     PLACED = "placed"
@@ -40,24 +42,23 @@
 
 
 class Reason(enum.Enum):
-    """Why a target that serves gets no new flow."""
+    """Reason for which a working target gets no new flow."""
 
     EVACUATION = "evacuation"
     COLD = "cold"
 
 
 class Decision(typing.NamedTuple):
-    """What to send for a packet.
+    """The datagram to send for a packet, and the reasons for it.
 
     Attributes:
-        outcome: Why.
-        datagram: What to send; None for nothing.
-        address: Where to; None for the caller.
-        target: The target that was chosen or named, if any.
-        answer_ms: How long the target took for an answer, when the packet
-            tells.
-        probe: A silent target to probe, if there is one now.
-        withheld: What kept the flow from targets that it might have got.
+        outcome: Result of the decision.
+        datagram: The datagram to send; None to send nothing.
+        address: Destination of the datagram; None for the caller.
+        target: The target that was chosen, or that the packet's cookie names, if any.
+        answer_ms: Response time of the target, if the packet ends a measurement.
+        probe: A silent target that is to be probed now, if any.
+        withheld: Reasons for which targets were excluded for this flow.
     """
 
     outcome: Outcome
@@ -70,7 +71,7 @@
 
 
 class Steering:
-    """Decides about packets by the catalog and by what was seen of flows."""
+    """Decides about packets by the catalog and by the observations of this VM."""
 
     def __init__(
         self,
@@ -79,7 +80,14 @@
         known: catalog.Catalog,
         seen: observations.Observations,
     ) -> None:
-        """Steer for a VM of a zone."""
+        """Create the steering of a VM.
+
+        Args:
+            zone: Availability zone of the VM.
+            wire: Reads and writes the fabric's packets.
+            known: Routes and targets.
+            seen: Observations of flows and targets.
+        """
         self._zone = zone
         self._codec = wire
         self._catalog = known
@@ -92,25 +100,25 @@
 
         Args:
             now_ms: Present time.
-            age_ms: Age of what this VM knows.
-            segment: The packet, decoded.
-            raw: The packet as it came.
+            age_ms: Age of this VM's copy of the store.
+            segment: The decoded packet.
+            raw: The packet as received.
         """
         if self._catalog.config is None:
             return Decision(Outcome.NOT_READY, None, None, None)
         route = self._catalog.route(segment)
         if route is None:
-            return self._unrouted(age_ms, segment)
+            return self._without_route(age_ms, segment)
         if segment.opening:
             return self._open(now_ms, route, segment, raw)
         return self._forward(now_ms, route, segment, raw)
 
-    def _unrouted(self, age_ms: int, segment: model.Segment) -> Decision:
-        # A reset ends the caller's attempt. Sent for a route that was just
-        # added and is not known here yet, it would refuse what is allowed; a
-        # caller that hears nothing sends its opening packet again. A flow that
-        # is open already shows that some VM knows the route, so it is reset
-        # only when this VM has seen the route go.
+    def _without_route(self, age_ms: int, segment: model.Segment) -> Decision:
+        # A reset ends the caller's attempt. If the route was just added and this VM
+        # has not received it yet, a reset would refuse an allowed flow, whereas a
+        # caller without a response retransmits its opening packet. An open flow
+        # proves that some VM has the route, so this VM resets an open flow only
+        # after it has seen the removal of the route.
         known = segment.opening or self._catalog.dropped(segment)
         if segment.reset or age_ms > MAX_CATALOG_AGE_MS or not known:
             return Decision(Outcome.NO_ROUTE, None, None, None)
@@ -121,19 +129,19 @@
         self, now_ms: int, route: model.Route, segment: model.Segment, raw: bytes
     ) -> Decision:
         flow = segment.flow
-        copies = segment.acknowledged
+        retransmissions = segment.acknowledged
         record = self._observations.tracker.get(flow)
         before = self._catalog.by_cookie(record.cookie) if record is not None else None
         if record is None or before is None or self._is_dead(now_ms, before):
-            return self._place(now_ms, route, flow, raw, copies, None)
-        soon = now_ms - record.placed_ms < MIN_RETRANSMISSION_MS
-        unanswered = copies > record.retransmissions
+            return self._place(now_ms, route, flow, raw, retransmissions, None)
+        too_soon = now_ms - record.placed_ms < MIN_RETRANSMISSION_MS
+        unanswered = retransmissions > record.retransmissions
         moves = unanswered or self._catalog.evacuations.covers(before)
-        if record.open or not moves or soon:
-            # The network doubled the packet, or it waited in a queue behind the
-            # first. At a second target the flow would be open twice.
-            return self._passed_on(Outcome.PLACED, before, raw)
-        decision = self._place(now_ms, route, flow, raw, copies, before)
+        if record.open or not moves or too_soon:
+            # The network duplicated the packet, or the packet was queued behind the
+            # first one. Sent to a second target, it would open the flow twice.
+            return self._forwarded_to(Outcome.PLACED, before, raw)
+        decision = self._place(now_ms, route, flow, raw, retransmissions, before)
         if unanswered and self._observations.record_unanswered(now_ms, before):
             return decision._replace(probe=before)
         return decision
@@ -144,52 +152,59 @@
         route: model.Route,
         flow: model.FlowId,
         raw: bytes,
-        copies: int,
+        retransmissions: int,
         silent: model.Target | None,
     ) -> Decision:
         service = placing.pick_service(route.shares, _draws(flow, 0).first)
-        passed_over = silent.cookie if silent is not None else 0
-        draws = _draws(flow, copies)
-        # Its last bits are as even as the number, and say nothing of it.
-        part = draws.second * _PARTS % 1
+        unanswered_cookie = silent.cookie if silent is not None else 0
+        draws = _draws(flow, retransmissions)
+        # The low bits of the draw are distributed as evenly as the whole number and
+        # are independent of its high bits.
+        low_part = draws.second * _LOW_BITS % 1
         urgent = not self._observations.levels.rank(service, route.priority).above
-        found = self._observations.candidates(
-            now_ms, service, passed_over, part, urgent
+        eligible = self._observations.candidates(
+            now_ms, service, unanswered_cookie, low_part, urgent
         )
-        candidates = found.candidates
-        withheld = self._withheld(service, found.cold_excluded)
+        candidates = eligible.candidates
+        withheld = self._withheld(service, eligible.cold_excluded)
         chosen = placing.choose_target(candidates, self._zone, draws)
         if chosen is None:
             return self._without_target(flow, withheld)
         target = chosen
-        # Only a first opening packet is refused. Where a copy comes, a target may have
-        # taken the one before, and the caller may be about to ask it.
-        if not copies and self._is_refused(now_ms, route, chosen, draws):
-            calm = placing.choose_target(self._calm(candidates), self._zone, draws)
-            if calm is None:
-                # No target saw it, so that it has not run. Let in, it would be late
-                # and make the next ones late, too.
+        # Only the first opening packet of a flow is refused. When a retransmission
+        # arrives, a target may have accepted the packet before, and the caller may be
+        # about to send its request there.
+        if not retransmissions and self._is_refused(now_ms, route, chosen, draws):
+            alternative = placing.choose_target(
+                self._without_overloaded(candidates), self._zone, draws
+            )
+            if alternative is None:
+                # No target has received the flow, so nothing of it has run. An
+                # admitted flow would be late and would delay the next ones.
                 datagram = self._codec.reset(flow, 0)
                 return Decision(Outcome.OVERLOADED, datagram, None, chosen)
-            target = calm
-        self._observations.tracker.record_placement(now_ms, flow, target.cookie, copies)
+            target = alternative
+        self._observations.tracker.record_placement(
+            now_ms, flow, target.cookie, retransmissions
+        )
         self._observations.record_placement(now_ms, target)
         outcome = Outcome.PLACED if silent is None else Outcome.PLACED_AGAIN
-        return self._passed_on(outcome, target, raw)._replace(withheld=withheld)
+        return self._forwarded_to(outcome, target, raw)._replace(withheld=withheld)
 
-    def _withheld(self, service: str, cold: bool) -> tuple[Reason, ...]:
-        found = [Reason.COLD] if cold else []
+    def _withheld(self, service: str, cold_excluded: bool) -> tuple[Reason, ...]:
+        reasons = [Reason.COLD] if cold_excluded else []
         evacuated = self._catalog.withheld(service)
-        near = any(item.zone == self._zone for item in evacuated)
-        if near or (evacuated and not self._catalog.accepting(service)):
-            found.append(Reason.EVACUATION)
-        return tuple(found)
+        in_own_zone = any(item.zone == self._zone for item in evacuated)
+        if in_own_zone or (evacuated and not self._catalog.accepting(service)):
+            reasons.append(Reason.EVACUATION)
+        return tuple(reasons)
 
     def _without_target(
         self, flow: model.FlowId, withheld: tuple[Reason, ...]
     ) -> Decision:
         if not self._catalog.settled:
-            # A refusal would be final while the caller's next copy may find one.
+            # A reset would be final, whereas the caller's next retransmission may
+            # find a target.
             return Decision(Outcome.NO_TARGET_YET, None, None, None)
         outcome = Outcome.NO_TARGET
         if Reason.COLD in withheld:
@@ -199,11 +214,11 @@
         datagram = self._codec.reset(flow, 0)
         return Decision(outcome, datagram, None, None, withheld=withheld)
 
-    def _calm(
+    def _without_overloaded(
         self, candidates: typing.Sequence[placing.Candidate]
     ) -> list[placing.Candidate]:
-        # A zone that is full while another has room shows less in flows than in its
-        # answers, which come from no VM of another zone.
+        # The load of a zone shows in its response times more than in its numbers of
+        # flows. Response times are measured only by VMs of the same zone.
         limiting = self._observations.refusals.limiting
         return [
             item
@@ -226,7 +241,7 @@
         rank = seen.levels.rank(target.service, route.priority)
         return draws.refuse < seen.refusals.part(now_ms, pool, rank)
 
-    def _passed_on(
+    def _forwarded_to(
         self, outcome: Outcome, target: model.Target, raw: bytes
     ) -> Decision:
         marked = self._codec.with_cookie(raw, target.cookie)
@@ -239,9 +254,10 @@
         record = self._observations.tracker.get(segment.flow)
         cookie = segment.cookie
         if record is not None and record.open:
-            # When two targets answered copies of one opening packet, the
-            # caller names the one it heard last, which does not hold the flow.
-            # The right cookie goes on, for the target to hand it back.
+            # If two targets answered the same opening packet, the caller uses the
+            # cookie that it received last, which may be that of the target without
+            # the flow. The VM forwards the correct cookie, and the target returns it
+            # to the caller.
             cookie = record.cookie
         target = self._catalog.by_cookie(cookie)
         if target is None:
@@ -250,8 +266,12 @@
             self._observations.tracker.forget(segment.flow)
             datagram = self._codec.reset(segment.flow, segment.acknowledged)
             return Decision(Outcome.TARGET_DEAD, datagram, None, target)
-        signal = self._observations.tracker.record_segment(now_ms, segment, cookie)
-        probe = target if self._learn(now_ms, route, target, signal) else None
+        measurement = self._observations.tracker.record_segment(now_ms, segment, cookie)
+        probe = (
+            target
+            if self._record_measurement(now_ms, route, target, measurement)
+            else None
+        )
         if self._observations.should_reprobe(now_ms, target):
             probe = target
         if cookie != segment.cookie:
@@ -261,7 +281,7 @@
             self._codec.for_target(raw, target),
             target.address,
             target,
-            signal.answer_ms,
+            measurement.answer_ms,
             probe,
         )
 
@@ -271,31 +291,33 @@
         return ended or self._observations.liveness.dead(now_ms, cookie)
 
     def reset_flows(self, target: model.Target) -> list[tuple[model.FlowId, bytes]]:
-        """Return a reset for each open flow of a target that is dead."""
+        """Forget the open flows of a dead target, and return a reset for each."""
         flows = self._observations.tracker.open_flows(target.cookie)
         for flow, _ in flows:
             self._observations.tracker.forget(flow)
         return [(flow, self._codec.reset(flow, at)) for flow, at in flows]
 
-    def _learn(
+    def _record_measurement(
         self,
         now_ms: int,
         route: model.Route,
         target: model.Target,
-        signal: tracker.Measurement,
+        measurement: tracker.Measurement,
     ) -> bool:
         probe = False
-        if signal.opened or signal.answer_ms is not None:
+        if measurement.opened or measurement.answer_ms is not None:
             self._observations.record_answer(now_ms, target)
-        elif signal.retransmitted:
+        elif measurement.retransmitted:
             probe = self._observations.record_unanswered(now_ms, target)
-        if signal.answer_ms is not None:
-            self._observations.record_answer_time(target, signal.answer_ms)
-            self._observations.record_objective(now_ms, route, target, signal)
+        if measurement.answer_ms is not None:
+            self._observations.record_answer_time(target, measurement.answer_ms)
+            self._observations.record_objective(now_ms, route, target, measurement)
         return probe
 
 
-def _draws(flow: model.FlowId, copies: int) -> placing.Draws:
+def _draws(flow: model.FlowId, retransmissions: int) -> placing.Draws:
     text = flow.caller_ip + flow.caller_port.to_bytes(2, "big") + flow.service_ip
-    digest = hashlib.blake2b(text + bytes([copies & 0xFF]), digest_size=12).digest()
+    digest = hashlib.blake2b(
+        text + bytes([retransmissions & 0xFF]), digest_size=12
+    ).digest()
     return placing.Draws(*(item / 2**32 for item in _NUMBERS.unpack(digest)))
--- a/eelgrasswick/cookie/tracker.py
+++ b/eelgrasswick/cookie/tracker.py
@@ -1,9 +1,9 @@
-"""What a VM remembers of the flows that pass it.
+"""Records of the flows that a VM forwards.
 
-Nothing here is needed to carry a flow right; a VM that has forgotten a flow
-forwards it by its cookie. It is kept to spread new flows, to see how fast
-targets answer, and to hold a flow on its target when a second one answered its
-opening packet too.
+Forwarding does not depend on these records: a VM without a record of a flow
+forwards the flow by its cookie. The records serve to balance new flows, to measure
+response times, and to keep a flow on its target when a second target answered the
+opening packet, too.
 """
 
 import collections
@@ -11,34 +11,35 @@
 
 from eelgrasswick.cookie import model
 
-# Bounds the memory of flows, at some hundred bytes each.
+# Limit of the number of records, each of which takes some hundred bytes.
 MAX_FLOWS: typing.Final = 20_000
-# A flow that other VMs carry now is not seen here any more. Callers pause for
-# about a second between the requests of a long flow.
+# A flow without a packet for this long is forgotten, because another VM may carry it
+# now. Callers pause for about a second between the requests of a long flow.
 IDLE_TIMEOUT_MS: typing.Final = 4000
-# Longer times are pauses of the caller, not work of the target.
+# Longer times are ignored as pauses of the caller; they are no response times.
 MAX_SAMPLE_MS: typing.Final = 2000
-# A request that waits longer than this is overdue, if its flow's answers came
-# sooner before. Where an answer is acknowledged only with the next request, its flow
-# can't tell.
+# A request that waits longer than this is overdue, unless the previous response of
+# its flow was acknowledged later than this. A caller that acknowledges a response only
+# with its next request gives no measure of the response time.
 OVERDUE_MS: typing.Final = 300
-# A caller that waits longer has given up, or its flow passes another VM by now.
-# Counted on, requests that nobody waits for would make their target look full.
+# A request is counted as waiting for at most this long. Afterwards its caller has
+# given up, or another VM carries the flow; if such requests were still counted, their
+# target would look full.
 MAX_WAIT_MS: typing.Final = 2000
-# Positions in a stream are counted modulo this.
+# Stream positions are counted modulo this number.
 _SEQUENCES: typing.Final = 2**32
 
 
 class Measurement(typing.NamedTuple):
-    """What a segment told about its target.
+    """What a segment shows about its target.
 
     Attributes:
-        opened: True when the flow is seen to be open for the first time.
+        opened: True when the segment is the first that shows the flow to be open.
         answer_ms: Time from a request to the acknowledgement of the first part
-            of its answer; None when the segment ends no such wait.
+            of its response; None when the segment ends no such wait.
         answer_bytes: Length of that part.
-        resent: True when the caller had sent the request again meanwhile.
-        repeated: True when the caller sent the same data again.
+        request_retransmitted: True when the caller had retransmitted the request.
+        retransmitted: True when this segment is a retransmission.
     """
 
     opened: bool
@@ -49,14 +50,15 @@
 
 
 class Overdue(typing.NamedTuple):
-    """A request that waits for too long.
+    """A request that has waited for a response for more than `OVERDUE_MS`.
 
     Attributes:
-        cookie: Its target.
-        first: True when its flow had no answer before, so that nothing is known
-            of how its caller acknowledges.
-        moved: True when flows came from other VMs meanwhile. The fabric has changed
-            its hash then, and the answer may have been acknowledged elsewhere.
+        cookie: Cookie of the flow's target.
+        first_request: True when the flow has had no response yet, so that this VM
+            does not know whether its caller acknowledges responses at once.
+        flows_moved: True when flows moved here from other VMs in the meantime. The
+            fabric has changed its hash then, and the acknowledgement of the response
+            may have passed another VM.
     """
 
     cookie: int
@@ -65,17 +67,23 @@
 
 
 class Record:
-    """One flow.
+    """State of one flow.
 
     Attributes:
-        cookie: Its target; while it is not open, the one it was last sent to.
+        cookie: Cookie of the target; until the flow is open, of the target that got
+            its last opening packet.
         open: True once the caller has used the cookie.
         placed_here: True when this VM chose the target.
-        copies: Opening packets before the one that was last placed.
-        placed_ms: When that one was placed.
-        acknowledged: What the caller last acknowledged.
-        prompt: True when its last answer was acknowledged soon; None without one.
-        resent: True when its present request was sent again.
+        retransmissions: Number of the opening packet that was last placed, 0 for the
+            original.
+        placed_ms: Time when that packet was placed.
+        request_ms: Time when the request began that waits for a response; 0 for none.
+        request_acknowledged: Position that the caller had acknowledged then.
+        data_end: Position after the data that the caller last sent.
+        acknowledged: Position in the target's stream that the caller last acknowledged.
+        answered_promptly: True when the last response was acknowledged within
+            `OVERDUE_MS`; None before the first response.
+        request_retransmitted: True when the caller's last segment was a retransmission.
     """
 
     __slots__ = (
@@ -93,7 +101,12 @@
     )
 
     def __init__(self, cookie: int, placed_here: bool) -> None:
-        """Begin with a target."""
+        """Create the record of a flow that is not open yet.
+
+        Args:
+            cookie: Cookie of the target.
+            placed_here: True when this VM chose the target.
+        """
         self.cookie = cookie
         self.open = False
         self.placed_here = placed_here
@@ -108,60 +121,61 @@
 
 
 class Tracker:
-    """Records of the flows seen lately, and how many each target has."""
+    """Records of the flows seen lately, and their number by target."""
 
     def __init__(self) -> None:
-        """Know no flow."""
+        """Create an empty tracker."""
         self._records: collections.OrderedDict[model.FlowId, Record] = (
             collections.OrderedDict()
         )
         self._seen_ms: dict[model.FlowId, int] = {}
         self._flows: collections.Counter[int] = collections.Counter()
-        self._asked: collections.OrderedDict[model.FlowId, int] = (
+        self._requests_ms: collections.OrderedDict[model.FlowId, int] = (
             collections.OrderedDict()
         )
-        # Flows whose callers wait for an answer, since when.
-        self._waiting: collections.OrderedDict[model.FlowId, int] = (
+        # For each flow whose caller waits for a response, the time when the wait began.
+        self._waiting_since_ms: collections.OrderedDict[model.FlowId, int] = (
             collections.OrderedDict()
         )
-        self._in_hand: collections.Counter[int] = collections.Counter()
-        # When a flow last came that other VMs had opened.
-        self._moved_ms = -1
+        self._waiting_counts: collections.Counter[int] = collections.Counter()
+        # Last time at which a flow that another VM had opened first arrived here.
+        self._flows_moved_ms = -1
 
     def __len__(self) -> int:
-        """Return the number of flows that are remembered."""
+        """Return the number of recorded flows."""
         return len(self._records)
 
     def flows_on(self, cookie: int) -> int:
-        """Return how many remembered flows a target has."""
+        """Return the number of recorded flows of a target."""
         return self._flows[cookie]
 
     @property
     def waiting_flows(self) -> typing.Mapping[int, int]:
-        """How many flows wait for an answer, by target.
+        """Number of flows that wait for a response, by target.
 
-        A flow that is being opened counts, as its caller is about to ask.
+        A flow that is being opened counts as waiting, because its caller is about to
+        send a request.
         """
-        return self._in_hand
+        return self._waiting_counts
 
     def targets(self) -> set[int]:
-        """Return the targets that have flows."""
+        """Return the cookies of the targets that have flows."""
         return set(self._flows)
 
     def get(self, flow: model.FlowId) -> Record | None:
-        """Return what is remembered of a flow."""
+        """Return the record of a flow, if any."""
         return self._records.get(flow)
 
     def record_placement(
-        self, now_ms: int, flow: model.FlowId, cookie: int, copies: int
+        self, now_ms: int, flow: model.FlowId, cookie: int, retransmissions: int
     ) -> None:
-        """Note that a flow's opening packet went to a target.
+        """Record that a flow's opening packet was sent to a target.
 
         Args:
             now_ms: Present time.
             flow: The flow.
-            cookie: The target.
-            copies: How many opening packets its caller had sent before.
+            cookie: Cookie of the target.
+            retransmissions: Number of opening packets that the caller sent before.
         """
         record = self._records.get(flow)
         if record is None:
@@ -170,72 +184,73 @@
         else:
             self._touch(now_ms, flow)
             self._move(flow, record, cookie)
-        self._wait(now_ms, flow, record)
-        record.retransmissions = copies
+        self._begin_wait(now_ms, flow, record)
+        record.retransmissions = retransmissions
         record.placed_ms = now_ms
 
     def record_segment(
         self, now_ms: int, segment: model.Segment, cookie: int
     ) -> Measurement:
-        """Note that a segment of an open flow went to a target."""
+        """Record that a segment of an open flow was forwarded to a target."""
         record = self._records.get(segment.flow)
         if record is None:
             record = Record(cookie, False)
             self._add(now_ms, segment.flow, record)
-            self._moved_ms = now_ms
+            self._flows_moved_ms = now_ms
         else:
             self._touch(now_ms, segment.flow)
         opened = not record.open and record.placed_here
         if not record.open:
             record.open = True
             self._move(segment.flow, record, cookie)
-            self._answered(segment.flow, cookie)
+            self._end_wait(segment.flow, cookie)
         record.acknowledged = segment.acknowledged
         before_ms = record.request_ms
         answer_bytes = (segment.acknowledged - record.request_acknowledged) % _SEQUENCES
-        answer_ms, repeated = _timing(now_ms, record, segment)
-        signal = Measurement(
+        answer_ms, repeated = _measure(now_ms, record, segment)
+        measurement = Measurement(
             opened, answer_ms, answer_bytes, record.request_retransmitted, repeated
         )
         record.request_retransmitted = repeated
         if record.request_ms != before_ms:
-            self._asked.pop(segment.flow, None)
-            self._answered(segment.flow, record.cookie)
+            self._requests_ms.pop(segment.flow, None)
+            self._end_wait(segment.flow, record.cookie)
             if record.request_ms:
-                self._asked[segment.flow] = record.request_ms
-                self._wait(now_ms, segment.flow, record)
-        elif segment.data_bytes and not repeated and segment.flow in self._asked:
-            # The request is still being sent, and its answer is not due yet.
-            self._asked[segment.flow] = now_ms
-            self._asked.move_to_end(segment.flow)
+                self._requests_ms[segment.flow] = record.request_ms
+                self._begin_wait(now_ms, segment.flow, record)
+        elif segment.data_bytes and not repeated and segment.flow in self._requests_ms:
+            # The caller is still sending the request, so its response is not due yet.
+            self._requests_ms[segment.flow] = now_ms
+            self._requests_ms.move_to_end(segment.flow)
         if segment.ending or segment.reset:
             self._drop(segment.flow)
-        return signal
+        return measurement
 
     def take_overdue(self, now_ms: int) -> list[Overdue]:
-        """Return the requests that wait for too long.
+        """Return the requests that have become overdue since the last call.
 
-        A request is told of once, however often its packet is sent again.
+        Each request is returned once, however often its packet is retransmitted.
 
-        A flow that was reset by its target, or whose target hangs, is silent: its
-        caller gave it up, and no packet that is sent again tells of it.
+        A timeout is needed because a flow that was reset by its target, or whose
+        target hangs, may be silent: its caller has given it up, and no retransmission
+        shows the failure.
         """
         found = []
-        while self._asked:
-            flow, asked_ms = next(iter(self._asked.items()))
-            if now_ms - asked_ms < OVERDUE_MS:
+        while self._requests_ms:
+            flow, request_ms = next(iter(self._requests_ms.items()))
+            if now_ms - request_ms < OVERDUE_MS:
                 break
-            del self._asked[flow]
+            del self._requests_ms[flow]
             record = self._records[flow]
             if record.answered_promptly is not False:
-                moved = self._moved_ms > asked_ms
+                moved = self._flows_moved_ms > request_ms
                 found.append(
                     Overdue(record.cookie, record.answered_promptly is None, moved)
                 )
         return found
 
     def open_flows(self, cookie: int) -> list[tuple[model.FlowId, int]]:
-        """Return the open flows of a target, and what their callers acknowledged."""
+        """Return the open flows of a target with the positions last acknowledged."""
         return [
             (flow, record.acknowledged)
             for flow, record in self._records.items()
@@ -243,31 +258,31 @@
         ]
 
     def forget(self, flow: model.FlowId) -> None:
-        """Drop what is remembered of a flow that was reset."""
+        """Delete the record of a flow that was reset."""
         if flow in self._records:
             self._drop(flow)
 
     def expire(self, now_ms: int) -> None:
-        """Forget flows that were not seen for a while."""
+        """Delete the records of idle flows, and end waits that last too long."""
         while self._records:
             flow = next(iter(self._records))
             if now_ms - self._seen_ms[flow] < IDLE_TIMEOUT_MS:
                 break
             self._drop(flow)
-        while self._waiting:
-            flow, since_ms = next(iter(self._waiting.items()))
+        while self._waiting_since_ms:
+            flow, since_ms = next(iter(self._waiting_since_ms.items()))
             if now_ms - since_ms < MAX_WAIT_MS:
                 break
-            self._answered(flow, self._records[flow].cookie)
+            self._end_wait(flow, self._records[flow].cookie)
 
-    def _wait(self, now_ms: int, flow: model.FlowId, record: Record) -> None:
-        if flow not in self._waiting:
-            self._in_hand[record.cookie] += 1
-            self._waiting[flow] = now_ms
+    def _begin_wait(self, now_ms: int, flow: model.FlowId, record: Record) -> None:
+        if flow not in self._waiting_since_ms:
+            self._waiting_counts[record.cookie] += 1
+            self._waiting_since_ms[flow] = now_ms
 
-    def _answered(self, flow: model.FlowId, cookie: int) -> None:
-        if self._waiting.pop(flow, None) is not None:
-            _less(self._in_hand, cookie)
+    def _end_wait(self, flow: model.FlowId, cookie: int) -> None:
+        if self._waiting_since_ms.pop(flow, None) is not None:
+            _decrement(self._waiting_counts, cookie)
 
     def _add(self, now_ms: int, flow: model.FlowId, record: Record) -> None:
         if len(self._records) >= MAX_FLOWS:
@@ -283,36 +298,36 @@
     def _move(self, flow: model.FlowId, record: Record, cookie: int) -> None:
         if record.cookie == cookie:
             return
-        _less(self._flows, record.cookie)
+        _decrement(self._flows, record.cookie)
         self._flows[cookie] += 1
-        if flow in self._waiting:
-            _less(self._in_hand, record.cookie)
-            self._in_hand[cookie] += 1
+        if flow in self._waiting_since_ms:
+            _decrement(self._waiting_counts, record.cookie)
+            self._waiting_counts[cookie] += 1
         record.cookie = cookie
 
     def _drop(self, flow: model.FlowId) -> None:
         record = self._records.pop(flow)
         del self._seen_ms[flow]
-        self._asked.pop(flow, None)
-        self._answered(flow, record.cookie)
-        _less(self._flows, record.cookie)
+        self._requests_ms.pop(flow, None)
+        self._end_wait(flow, record.cookie)
+        _decrement(self._flows, record.cookie)
 
 
-def _less(counts: collections.Counter[int], cookie: int) -> None:
+def _decrement(counts: collections.Counter[int], cookie: int) -> None:
     counts[cookie] -= 1
     if counts[cookie] <= 0:
         del counts[cookie]
 
 
-def _timing(
+def _measure(
     now_ms: int, record: Record, segment: model.Segment
 ) -> tuple[int | None, bool]:
     answer_ms = None
     if record.request_ms and segment.acknowledged != record.request_acknowledged:
         waited_ms = now_ms - record.request_ms
         record.answered_promptly = waited_ms <= OVERDUE_MS
-        # An acknowledgement that comes with the next request has waited for it, so
-        # that its time is the caller's pause and no work of the target.
+        # An acknowledgement that arrives with the next request was delayed until that
+        # request, so its time measures the caller's pause and not the target.
         if waited_ms <= MAX_SAMPLE_MS and not segment.data_bytes:
             answer_ms = waited_ms
         record.request_ms = 0
--- a/tests/steering_parts.py
+++ b/tests/steering_parts.py
@@ -1,4 +1,4 @@
-"""The steering of a VM, and packets for it."""
+"""Fixtures with the steering of a VM, and helpers that send packets to it."""
 
 import pytest
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def seen(known: catalog.Catalog) -> observations.Observations:
-    """Return what the VM has seen of them."""
+    """Return the VM's observations of the targets."""
     return observations.Observations("z1", known)
 
 
@@ -37,15 +37,18 @@
 def steer(
     steers: steering.Steering, now_ms: int, raw: bytes, age_ms: int = FRESH_MS
 ) -> steering.Decision:
-    """Steer a packet of a caller."""
+    """Return the decision about a packet of a caller."""
     return steers.steer(now_ms, age_ms, segments.Codec().decode(raw), raw)
 
 
 def opened(
-    steers: steering.Steering, now_ms: int = 0, copies: int = 0, port: int = 40_001
+    steers: steering.Steering,
+    now_ms: int = 0,
+    retransmissions: int = 0,
+    port: int = 40_001,
 ) -> model.Target:
-    """Open a flow; return the target that its opening packet went to."""
-    raw = cookie_parts.packet(cookie_parts.SYN, port, acknowledged=copies)
+    """Send an opening packet; return the target that it was sent to."""
+    raw = cookie_parts.packet(cookie_parts.SYN, port, acknowledged=retransmissions)
     target = steer(steers, now_ms, raw).target
     assert target is not None
     return target
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""How many new flows cold targets take."""
+"""Tests of the limits on new flows to cold targets."""
 
 import json
 import random
@@ -51,16 +51,16 @@
             opened[cookie].append(now_ms)
     most = [_most(times_ms) for times_ms in opened.values()]
     assert max(most) <= (1.5 * per_s + 5) / 2
-    # The part that is given out is used.
+    # The VMs use at least half of the limit.
     assert sum(most) >= 0.5 * len(most)
 
 
 @pytest.mark.parametrize("lost", [1, 20, 37])
 def test_limit_holds_while_views_differ(lost: int) -> None:
-    """Guards against a part that two VMs use, as one has not heard of the other."""
+    """Guards against a share of the limit that two VMs with different views use."""
     vms = _vms(67)
     names = [f"10.0.0.{number}" for number in range(67)]
-    # Half of the VMs have forgotten some, which go on and hold their old view.
+    # Half of the VMs have removed some peers, which still run with their old view.
     for number in range(lost, 67, 2):
         kept = tuple(name for name in names[lost:] if name != names[number])
         vms[number].follow(SETTLED_MS, kept, len(kept))
@@ -69,22 +69,22 @@
         assert flows <= 5
 
 
-def test_vm_that_hears_nobody_opens_none() -> None:
-    """Guards against each VM behind a cut taking the whole limit for its own."""
+def test_vm_without_contact_to_peers_opens_none() -> None:
+    """Guards against a cut behind which each VM uses the whole limit."""
     (vm, *_) = _vms(10)
     vm.follow(SETTLED_MS, ("10.0.0.1", "10.0.0.2"), 0)
     assert not any(vm.share(SETTLED_MS, cookie, 0.0) for cookie in range(50))
 
 
 def test_vm_that_has_just_started_opens_none() -> None:
-    """Guards against a part that is used again by a VM that was restarted."""
+    """Guards against a restarted VM that uses its share of the limit twice."""
     (vm, *_) = _vms(10)
     assert not any(vm.share(SETTLED_MS - 1, cookie, 0.0) for cookie in range(50))
     assert any(vm.share(SETTLED_MS, cookie, 0.0) for cookie in range(50))
 
 
-def test_last_room_is_kept_for_urgent_flows() -> None:
-    """Guards against urgent flows that are refused as others came first."""
+def test_last_free_target_is_reserved_for_urgent_flows() -> None:
+    """Guards against urgent flows refused because less urgent ones came first."""
     assert cold_start.reserved(1, 4, urgent=False)
     assert not cold_start.reserved(1, 4, urgent=True)
     assert not cold_start.reserved(3, 4, urgent=False)
@@ -120,7 +120,7 @@
 def test_cold_target_gets_nothing_while_others_are_warm(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """Guards against a server that is buried as soon as it has started."""
+    """Guards against a server that is overloaded as soon as it has started."""
     _settle(known)
     _update(known, 100, cookie_parts.target_row("i-0d", 9, cold_remaining_ms=2000))
     names = {
@@ -137,7 +137,7 @@
 def test_new_target_is_cold_whatever_its_entry_says(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """Guards against an entry that says nothing of the start which it follows."""
+    """Guards against a restarted server whose entry reports it as warm."""
     _settle(known)
     row = cookie_parts.target_row("i-0a", 9, born=5000, cold_remaining_ms=0)
     _update(known, 100, row)
@@ -146,19 +146,19 @@
         assert target.name != "i-0a"
 
 
-def test_entries_that_are_back_after_an_outage_are_warm(
+def test_entries_that_return_after_an_outage_are_warm(
     known: catalog.Catalog,
 ) -> None:
-    """Guards against a whole service that is taken for new as its entries return."""
+    """Guards against a service treated as new when its entries return."""
     known.update(5000, knowledge.Merge((cookie_parts.gone_row("i-0a", 9),), 9000))
     known.update(5200, knowledge.Merge((cookie_parts.target_row("i-0a", 10),), 100))
     assert not any(known.cold_ms(item, 5200) for item in known.targets)
 
 
-def test_own_zone_that_is_cold_is_left_to_another(
+def test_flow_leaves_its_zone_while_the_zone_is_cold(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """Guards against a zone that returns cold and gets its callers back at once."""
+    """Guards against a zone that returns cold and gets all its callers at once."""
     _settle(known)
     rows = [cookie_parts.target_row(f"i-0{n}", 9, born=5000) for n in "ab"]
     _update(known, 100, *rows)
@@ -170,12 +170,12 @@
         assert decision.withheld == (steering.Reason.COLD,)
 
 
-def test_zone_that_is_taken_back_is_cold(
+def test_zone_is_cold_after_its_evacuation(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """Guards against servers that were started anew while their zone was evacuated.
+    """Guards against servers that restarted while their zone was evacuated.
 
-    Their entries still say what held before.
+    Their entries may still be those of the former start.
     """
     _settle(known)
     _update(known, 100, source.Row("op/evacuate/z1", b"{}", 9))
@@ -187,20 +187,22 @@
 def test_target_that_was_dead_and_answers_is_cold(
     known: catalog.Catalog, seen: observations.Observations
 ) -> None:
-    """Guards against a crashed server that is back before its entry says so."""
+    """Guards against a restarted server whose new entry has not arrived yet."""
     _settle(known)
     target = next(item for item in known.targets if item.name == "i-0a")
     seen.record_zone_answer(100, "z1")
     assert seen.begin_check(100, target)
-    assert seen.liveness.record_probe(200, target.cookie, accepted=False, path_ms=150)
+    assert seen.liveness.record_probe(
+        200, target.cookie, accepted=False, zone_answered_ms=150
+    )
     seen.record_answer(3000, target)
     assert known.cold_ms(target, 3000) == 2000
 
 
-def test_target_that_was_silent_and_answers_is_spared(
+def test_target_that_was_silent_and_answers_is_treated_as_cold(
     steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
 ) -> None:
-    """Guards against a server that crashed and is back before a probe found it dead."""
+    """Guards against a server that crashed and restarted before a probe failed."""
     _settle(known)
     target = next(item for item in known.targets if item.name == "i-0a")
     seen.record_unanswered(100, target)
@@ -211,10 +213,10 @@
         assert steering_parts.opened(steers, 1100, port=41_000 + number) != target
 
 
-def test_nobody_is_refused_when_a_vms_own_link_is_back(
+def test_no_flow_is_refused_after_a_vms_own_link_failed(
     steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
 ) -> None:
-    """Guards against a VM that takes all targets for new when its link was cut."""
+    """Guards against a VM that treats all targets as new after its link was cut."""
     _settle(known)
     for target in known.targets:
         seen.record_unanswered(100, target)
@@ -225,8 +227,8 @@
     assert steering_parts.opened(steers, 1100, port=41_000)
 
 
-def test_vm_whose_clock_is_behind_takes_targets_for_warm() -> None:
-    """Guards against a VM that starts with a wrong time of day and refuses everyone."""
+def test_vm_whose_clock_is_behind_treats_targets_as_warm() -> None:
+    """Guards against a VM with a wrong time of day that refuses all flows."""
     ages = cold_targets.Ages(unix_s=lambda: 0.5)
     (target, *_) = cookie_parts.known(
         _config(1), cookie_parts.target_row("i-0a", 2)
@@ -235,8 +237,8 @@
     assert ages.age_ms(0, target.cookie) is None
 
 
-def test_vm_that_starts_finds_new_targets_cold() -> None:
-    """Guards against a VM that hears of a server just after its start."""
+def test_vm_that_starts_treats_new_targets_as_cold() -> None:
+    """Guards against a starting VM that overloads a server that has just started."""
     ages = cold_targets.Ages(unix_s=lambda: 1.5)
     (target, *_) = cookie_parts.known(
         _config(1), cookie_parts.target_row("i-0a", 2)
@@ -248,7 +250,7 @@
 def test_flows_beyond_what_cold_targets_take_are_refused_at_once(
     steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
 ) -> None:
-    """Guards against callers that wait for targets which may not be used yet."""
+    """Guards against callers that wait for cold targets at their limit."""
     _settle(known)
     seen.cold.limits.follow(0, (), 0)
     rows = [cookie_parts.target_row(f"i-0{n}", 9, born=5000) for n in "abc"]
@@ -259,7 +261,7 @@
         decision = steering_parts.steer(steers, SETTLED_MS + 10 * number, raw)
         outcomes.append(decision.outcome)
         if decision.target is None:
-            # No target saw the flow, and the caller is told at once.
+            # No target received the flow, and the caller gets a reset at once.
             assert decision.datagram is not None
             assert decision.address is None
     assert outcomes.count(steering.Outcome.PLACED) == 6
@@ -267,7 +269,7 @@
 
 
 def test_service_without_a_limit_fills_cold_targets(known: catalog.Catalog) -> None:
-    """Guards against callers refused where operators have named no limit."""
+    """Guards against refusals for a service whose operators set no limit."""
     _update(known, 0, cookie_parts.config_row(8))
     seen = observations.Observations("z1", known)
     steers = steering.Steering("z1", segments.Codec(), known, seen)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Zones that take no new flows: what a VM believes and what it does with packets."""
+"""Tests of evacuated zones: the catalog of a VM, and its decisions about packets."""
 
 import pytest
 
@@ -42,14 +42,14 @@
 def test_open_flow_in_an_evacuated_zone_goes_on(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """Guards against an evacuation that breaks the flows that are open there."""
+    """Guards against an evacuation that breaks the open flows of its zone."""
     target = steering_parts.opened(steers)
     ack = cookie_parts.packet(cookie_parts.ACK, cookie=target.cookie)
     steering_parts.steer(steers, 5, ack)
     _update(known, _order(9))
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=target.cookie, data=b"GET")
     assert steering_parts.steer(steers, 20, raw).target == target
-    # Also by a VM that has never seen the flow.
+    # A VM without a record of the flow forwards it, too.
     other = steering.Steering(
         "z2", segments.Codec(), known, observations.Observations("z2", known)
     )
@@ -59,17 +59,17 @@
 def test_opening_packet_that_is_sent_again_leaves_an_evacuated_zone(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """Guards against a flow that opens there late because its first try was there."""
+    """Guards against a flow that opens late in a zone evacuated in the meantime."""
     assert steering_parts.opened(steers).zone == "z1"
     _update(known, _order(9))
     assert steering_parts.opened(steers, 500).zone == "z2"
-    assert steering_parts.opened(steers, 501, copies=1).zone == "z2"
+    assert steering_parts.opened(steers, 501, retransmissions=1).zone == "z2"
 
 
 def test_opening_packet_of_a_flow_that_is_open_stays(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """Guards against a flow that opens twice as its zone is evacuated."""
+    """Guards against a flow that opens twice when its zone is evacuated."""
     target = steering_parts.opened(steers)
     ack = cookie_parts.packet(cookie_parts.ACK, cookie=target.cookie)
     steering_parts.steer(steers, 5, ack)
@@ -77,10 +77,10 @@
     assert steering_parts.opened(steers, 500) == target
 
 
-def test_nothing_overrides_an_evacuation(
+def test_silence_of_all_other_targets_does_not_override_an_evacuation(
     steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
 ) -> None:
-    """Guards against the fallback to silent targets taking in an evacuated zone."""
+    """Guards against a fallback to silent targets that includes an evacuated zone."""
     _update(known, _order(9))
     elsewhere = next(t for t in known.targets if t.zone == "z2")
     for number in range(4):
@@ -93,7 +93,7 @@
 def test_service_whose_zones_are_all_evacuated_is_refused_at_once(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """Guards against callers that wait for targets which are not to be used."""
+    """Guards against callers that wait while all zones are evacuated."""
     _update(known, _order(9), _order(10, key="op/evacuate/z2"))
     raw = cookie_parts.packet(cookie_parts.SYN)
     decision = steering_parts.steer(steers, 20, raw)
@@ -102,10 +102,10 @@
     assert decision.address is None
 
 
-def test_flow_that_left_its_zone_says_why(
+def test_flow_that_left_its_zone_has_a_reason(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """Guards against a log that leaves open why a flow went to another zone."""
+    """Guards against a log without the reason why a flow left its zone."""
     raw = cookie_parts.packet(cookie_parts.SYN)
     assert steering_parts.steer(steers, 20, raw).withheld == ()
     _update(known, _order(9))
@@ -114,7 +114,7 @@
     assert decision.withheld == (steering.Reason.EVACUATION,)
 
 
-def test_zone_that_is_taken_back_gets_flows_again(known: catalog.Catalog) -> None:
+def test_zone_gets_flows_again_after_its_evacuation(known: catalog.Catalog) -> None:
     _update(known, _order(9))
     assert _names(known) == {"i-0c"}
     notes = _update(known, _order(12, None))
@@ -123,22 +123,25 @@
     assert _names(known) == {"i-0a", "i-0b", "i-0c"}
 
 
-def test_same_zone_twice_and_taken_back_at_once(known: catalog.Catalog) -> None:
-    """Guards against an evacuation that outlives its end, or the other way round."""
+def test_repeated_order_ends_with_the_deletion_of_its_row(
+    known: catalog.Catalog,
+) -> None:
+    """Guards against an evacuation that stays in force after its row was deleted."""
     _update(known, _order(9))
     _update(known, _order(10))
     _update(known, _order(11, None))
     assert len(_names(known)) == 3
-    # Taken back so soon that a watch tells of both together, the newer one last.
+    # The order is deleted so soon that the watch returns both changes together, the
+    # newer one last.
     _update(known, _order(12), _order(13, None))
     assert len(_names(known)) == 3
 
 
 @pytest.mark.parametrize("value", [b"[]", b"\xff", b"", b"1"])
-def test_value_that_is_no_object_is_an_evacuation_all_the_same(
+def test_order_with_a_malformed_value_is_in_force(
     known: catalog.Catalog, value: bytes
 ) -> None:
-    """Guards against an order that is ignored for a value which says nothing."""
+    """Guards against an evacuation that is ignored because its value is malformed."""
     (note,) = _update(known, _order(9, value))
     assert note.event == "evacuation_in_force"
     assert note.fields["malformed"]
@@ -147,7 +150,7 @@
 
 @pytest.mark.parametrize("key", ["op/evacuate/nowhere", "op/evacuate/"])
 def test_zone_without_targets_changes_nothing(known: catalog.Catalog, key: str) -> None:
-    """Guards against an order for an unknown zone that takes others along."""
+    """Guards against an order for an unknown zone that evacuates other zones."""
     (note,) = _update(known, _order(9, key=key))
     assert note.event in ("evacuation_in_force", "entry_refused")
     assert note.fields.get("targets", 0) == 0
@@ -156,8 +159,8 @@
     assert len(_names(known)) == 3
 
 
-def test_vm_that_starts_during_an_evacuation_knows_of_it() -> None:
-    """Guards against a VM that is told all rows and overlooks the operators' order."""
+def test_vm_that_starts_during_an_evacuation_applies_it() -> None:
+    """Guards against a starting VM that ignores the evacuation among all rows."""
     made = cookie_parts.known(
         _order(1),
         cookie_parts.target_row("i-0a", 2),
@@ -168,9 +171,9 @@
 
 
 def test_listing_without_the_order_ends_it() -> None:
-    """Guards against an evacuation kept by VMs that missed its end.
+    """Guards against an evacuation that stays in force on VMs that missed its end.
 
-    The store has forgotten the history in which the row was deleted.
+    The store has compacted the history in which the row was deleted.
     """
     rows = (cookie_parts.config_row(1), cookie_parts.target_row("i-0a", 2))
     known = knowledge.Knowledge()
@@ -181,8 +184,8 @@
     assert _names(made) == {"i-0a"}
 
 
-def test_order_that_came_by_another_vm_is_passed_on() -> None:
-    """Guards against VMs that the store turns away and that hear only of targets."""
+def test_order_received_from_another_vm_is_disseminated() -> None:
+    """Guards against VMs without the store that receive only updates of targets."""
     known = knowledge.Knowledge()
     rows = (cookie_parts.config_row(1), cookie_parts.target_row("i-0a", 2))
     known.merge(0, cookie_parts.listing(*rows))
@@ -192,16 +195,16 @@
     assert known.since(3).rows == (_order(4, None),)
 
 
-def test_target_that_starts_in_an_evacuated_zone_is_left_alone(
+def test_target_that_starts_in_an_evacuated_zone_gets_no_flow(
     known: catalog.Catalog,
 ) -> None:
-    """Guards against servers that are replaced while their zone is evacuated."""
+    """Guards against flows to servers that were replaced during an evacuation."""
     _update(known, _order(9))
     _update(known, cookie_parts.target_row("i-0d", 11))
     assert _names(known) == {"i-0c"}
 
 
-def test_entries_that_lapse_during_an_evacuation_stay_out(
+def test_entries_that_expire_during_an_evacuation_stay_excluded(
     known: catalog.Catalog,
 ) -> None:
     """Guards against entries that an outage keeps usable in an evacuated zone."""
@@ -210,7 +213,7 @@
     assert _names(known) == {"i-0c"}
 
 
-def test_cookie_of_a_withheld_target_is_still_carried(known: catalog.Catalog) -> None:
+def test_cookie_of_a_withheld_target_is_still_found(known: catalog.Catalog) -> None:
     _update(known, _order(9))
     withheld: list[model.Target] = known.withheld("desk")
     assert {item.name for item in withheld} == {"i-0a", "i-0b"}
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""Whose address another server has now."""
+"""Tests of the detection of addresses that another server took over."""
 
 import pytest
 
@@ -22,10 +22,9 @@
 def test_server_that_took_an_address_ends_the_former(
     known: owners.Owners,
 ) -> None:
-    """A server crashes, and two seconds later another has its address.
+    """Guards against callers that wait for a server whose address was taken over.
 
-    The new one accepts connections, so that a probe of the old one succeeds; its
-    callers would wait for answers that never come.
+    The new server accepts connections, so a probe of the former one succeeds.
     """
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
     assert known.record_entry(former, 5) == []
@@ -37,7 +36,7 @@
 def test_order_in_which_entries_are_read_does_not_matter(
     known: owners.Owners,
 ) -> None:
-    """A VM starts and reads both entries at once, the later one first."""
+    """Guards against a starting VM that reads the later entry first."""
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
     assert known.record_entry(latter, 9) == []
     assert known.record_entry(former, 5) == [former]
@@ -45,11 +44,10 @@
 
 
 def test_server_that_started_again_ends_nobody(known: owners.Owners) -> None:
-    """A server crashes and is back within a second, under its name.
+    """Guards against resets of flows on a server that restarted under its name.
 
-    The store is away, and VMs that know the former start only go on placing flows
-    on it. They are open at the new one; reset when its entry is heard of, they
-    would be broken.
+    While the store is away, VMs with the entry of the former start place flows on the
+    server, and it accepts them. They are open when the new entry arrives.
     """
     former, latter = _target("i-0a", 1000), _target("i-0a", 9000)
     known.record_entry(former, 5)
@@ -60,9 +58,10 @@
 def test_entry_that_was_written_late_ends_nobody(
     known: owners.Owners,
 ) -> None:
-    """The last heartbeat of a crashed server is done seconds after it was sent.
+    """Guards against a dead server that appears to replace a live one.
 
-    By the store's revisions alone the dead server would follow the live one.
+    The store executes the last heartbeat of the crashed server seconds after it was
+    sent, so the revisions alone have the wrong order.
     """
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
     known.record_entry(latter, 9)
@@ -71,7 +70,7 @@
 
 
 def test_wrong_clock_of_a_server_ends_nobody(known: owners.Owners) -> None:
-    """A server's clock is behind when it starts at an address that was used."""
+    """Guards against a new server that looks like the former by its late clock."""
     former, latter = _target("i-0a", 9000), _target("i-0b", 4000)
     known.record_entry(former, 5)
     assert known.record_entry(latter, 9) == []
@@ -84,14 +83,14 @@
     assert known.record_entry(target._replace(draining=True), 9) == []
 
 
-def test_each_end_is_told_once(known: owners.Owners) -> None:
+def test_each_ended_target_is_returned_once(known: owners.Owners) -> None:
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
     known.record_entry(former, 5)
     known.record_entry(latter, 9)
     assert known.record_entry(latter._replace(draining=True), 12) == []
 
 
-def test_target_that_is_forgotten_leaves_nothing(
+def test_forgotten_target_leaves_no_record(
     known: owners.Owners,
 ) -> None:
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""Where a new flow goes."""
+"""Tests of the choice of a new flow's target."""
 
 import collections
 import random
@@ -40,17 +40,13 @@
     return placed
 
 
-def test_own_zone_first() -> None:
+def test_flow_stays_in_its_zone_at_low_load() -> None:
     candidates = [_candidate("i-0a"), _candidate("i-0b", "z2")]
     assert set(_fill(candidates, 2)) == {"i-0a"}
 
 
-def test_burst_in_one_zone_is_carried_by_others() -> None:
-    """Many callers come at once in one zone.
-
-    With its own targets only, their requests would queue while targets of
-    other zones are idle.
-    """
+def test_burst_in_one_zone_spills_to_other_zones() -> None:
+    """Guards against requests that queue in one zone while other zones are idle."""
     candidates = [
         _candidate("i-0a"),
         _candidate("i-0b", "z2"),
@@ -62,29 +58,29 @@
 
 
 def test_zone_with_one_target_less_keeps_its_flows() -> None:
-    """Zones differ by a target, and the link between them may be cut.
+    """Guards against flows that leave their zone without need.
 
-    Flows that left their zone without need would all stop then.
+    A cut between the zones would break them.
     """
     candidates = [_candidate("i-0a", flows=20), _candidate("i-0b", "z2", flows=15)]
     assert set(_fill(candidates, 5)) == {"i-0a"}
 
 
-def test_slow_target_gets_less() -> None:
+def test_slow_target_gets_fewer_flows() -> None:
     placed = _fill([_candidate("i-0a", speed=0.5), _candidate("i-0b")], 30)
     assert 9 <= placed["i-0a"] <= 11
 
 
-def test_cold_target_gets_less() -> None:
+def test_cold_target_gets_fewer_flows() -> None:
     placed = _fill([_candidate("i-0a", cold=True), _candidate("i-0b")], 32)
     assert 11 <= placed["i-0a"] <= 13
 
 
-def test_nothing_without_candidates() -> None:
+def test_no_target_is_chosen_without_candidates() -> None:
     assert placing.choose_target([], "z1", placing.Draws(0.5, 0.5)) is None
 
 
-def test_shares_of_a_route() -> None:
+def test_services_of_a_route_get_flows_by_weight() -> None:
     shares = (model.Share("a", 90.0), model.Share("b", 10.0))
     picks = [placing.pick_service(shares, number / 100) for number in range(100)]
     assert picks.count("b") == 10
--- a/tests/test_placing_cost.py
+++ b/tests/test_placing_cost.py
@@ -1,4 +1,4 @@
-"""What a new flow costs where there are many targets and many VMs."""
+"""Tests of the cost of placing a flow with many targets and many VMs."""
 
 import collections
 import typing
@@ -18,19 +18,19 @@
 
 
 class _Counted(reports.Entry):
-    """An entry of a report that counts how often it is looked at."""
+    """An entry of a report that counts its reads."""
 
     looks: typing.ClassVar[int] = 0
 
     def __getattribute__(self, name: str) -> typing.Any:
-        """Count each look."""
+        """Count each read of `silent`."""
         if name == "silent":
             _Counted.looks += 1
         return super().__getattribute__(name)
 
 
 class _WideReader(cookie_scenario.Reader):
-    """Rows of more servers than a last byte can number."""
+    """Rows of more servers than the last byte of an address can number."""
 
     def target(self, row: source.Row) -> model.Target:
         """Return a target with an address of its own."""
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def seen() -> observations.Observations:
-    """Return what a VM sees that has the reports of sixty others."""
+    """Return the observations of a VM with the reports of sixty peers."""
     servers = (cookie_scenario.Server("z1", 2, 1.0),) * 60
     reader = cookie_scenario.Reader(servers)
     known = catalog.Catalog(reader)
@@ -58,11 +58,11 @@
 def test_new_flow_does_not_search_all_reports(
     seen: observations.Observations,
 ) -> None:
-    """A burst of new flows comes to a VM of a large fleet.
+    """Guards against a burst of new flows that blocks a VM of a large fleet.
 
-    With a search of sixty reports for each of 75 targets one opening packet took
-    9 ms, and 0.2 ms without; callers behind it waited, and a tenth of a small VM's
-    processor went there.
+    With a search of sixty reports for each of 75 targets, one opening packet took
+    9 ms instead of 0.2 ms. Packets behind it waited, and the search used a tenth of a
+    small VM's processor.
     """
     before = _Counted.looks
     for _ in range(10):
@@ -70,10 +70,10 @@
     assert _Counted.looks == before
 
 
-def test_few_of_many_targets_are_looked_at() -> None:
-    """A service has 2,400 servers, and each new flow is placed by two of them.
+def test_few_of_many_targets_are_considered() -> None:
+    """Guards against a VM that is blocked by a service with 2,400 servers.
 
-    Looked at one by one they cost 10 ms a flow, and the VM carries no packet.
+    Considering every server costs 10 ms per flow, in which the VM forwards no packet.
     """
     servers = [cookie_scenario.Server(f"z{n % 3 + 1}", 2, 1.0) for n in range(400)]
     reader = _WideReader(tuple(servers))
@@ -90,8 +90,8 @@
     assert max(own) < 1.1 * min(own)
 
 
-def test_report_names_targets_with_flows_only() -> None:
-    """A VM sees a small part of thousands of targets."""
+def test_report_lists_targets_with_flows_only() -> None:
+    """Guards against reports that list thousands of targets without flows."""
     reader = cookie_scenario.Reader(cookie_scenario.ORDINARY.servers)
     known = catalog.Catalog(reader)
     known.update(0, knowledge.Merge(reader.rows(), 0))
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -1,4 +1,4 @@
-"""Telling a dead target from a slow one."""
+"""Tests of the probes that distinguish dead targets from slow ones."""
 
 import socket
 
@@ -8,7 +8,7 @@
 from tests import turning
 
 
-def test_target_that_listens_accepts() -> None:
+def test_listening_target_accepts() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = model.Address(*listener.getsockname())
         assert turning.result(probing.accepts(default_reactor, address))
@@ -20,16 +20,16 @@
 
 
 def test_machine_without_power_does_not_answer() -> None:
-    """A server's machine has lost power, so that nothing refuses either."""
+    """Guards against a probe that hangs when a machine has lost power."""
     with turning.full_listener() as address:
         assert not turning.result(probing.accepts(default_reactor, address))
 
 
-def test_refusal_waits_for_an_answer_of_a_neighbour() -> None:
-    """A server's process is gone and its machine refuses at once.
+def test_refused_probe_waits_for_an_answer_of_the_zone() -> None:
+    """Guards against a refused probe that is decided before the zone can answer.
 
-    A cut that refuses connections looks the same until another server of the zone
-    answers; decided at once, the verdict would fall nearly every time.
+    The machine of a dead process refuses at once, and so may a cut. If the probe were
+    decided at once, hardly any dead target would be detected.
     """
     asked: list[bool] = []
 
@@ -41,8 +41,8 @@
     assert asked == [False, False, True]
 
 
-def test_wait_for_a_neighbour_ends() -> None:
-    """The whole zone is cut off, and nobody of it answers."""
+def test_wait_for_an_answer_of_the_zone_times_out() -> None:
+    """Guards against a probe that never ends when the whole zone is cut off."""
     asked: list[None] = []
 
     def never() -> bool:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""Which targets are passed over because they are silent."""
+"""Tests of the detection of silent targets."""
 
 import pytest
 
@@ -6,54 +6,54 @@
 
 
 @pytest.fixture
-def book() -> silence.SilenceDetector:
+def detector() -> silence.SilenceDetector:
     return silence.SilenceDetector()
 
 
-def test_silent_target_is_passed_over(book: silence.SilenceDetector) -> None:
-    """A server crashed without a word; its entry is still in the store."""
-    assert not book.record_unanswered(0, 7)
-    assert not book.suspected(0, 7, 0)
-    assert book.record_unanswered(1, 7)
-    assert book.suspected(1, 7, 0)
-
+def test_target_is_suspected_after_two_unanswered_packets(
+    detector: silence.SilenceDetector,
+) -> None:
+    """Guards against flows to a crashed server whose entry is still in the store."""
+    assert not detector.record_unanswered(0, 7)
+    assert not detector.suspected(0, 7, 0)
+    assert detector.record_unanswered(1, 7)
+    assert detector.suspected(1, 7, 0)
 
-def test_answer_in_between_begins_anew(book: silence.SilenceDetector) -> None:
-    """A link loses a packet now and then.
 
-    A target that was passed over for it would be missing for nothing.
-    """
+def test_answer_resets_the_count(detector: silence.SilenceDetector) -> None:
+    """Guards against the exclusion of a working target for occasional packet loss."""
     for now_ms in range(10):
-        book.record_unanswered(now_ms, 7)
-        assert not book.suspected(now_ms, 7, 0)
-        book.record_answer(7)
+        detector.record_unanswered(now_ms, 7)
+        assert not detector.suspected(now_ms, 7, 0)
+        detector.record_answer(7)
 
 
-def test_another_vm_is_a_witness(book: silence.SilenceDetector) -> None:
-    book.record_unanswered(0, 7)
-    assert book.suspected(0, 7, 1)
-    assert not book.suspected(0, 8, 1)
-    assert book.suspected(0, 8, 2)
+def test_witness_counts_as_one_unanswered_packet(
+    detector: silence.SilenceDetector,
+) -> None:
+    detector.record_unanswered(0, 7)
+    assert detector.suspected(0, 7, 1)
+    assert not detector.suspected(0, 8, 1)
+    assert detector.suspected(0, 8, 2)
 
 
-def test_silent_target_is_tried_one_flow_at_a_time(
-    book: silence.SilenceDetector,
+def test_silent_target_gets_one_trial_flow_at_a_time(
+    detector: silence.SilenceDetector,
+) -> None:
+    """Guards against many flows that are sent to a target that may still be silent."""
+    detector.record_unanswered(0, 7)
+    detector.record_unanswered(0, 7)
+    assert not detector.suspected(silence.TRIAL_INTERVAL_MS, 7, 0)
+    detector.record_trial(silence.TRIAL_INTERVAL_MS, 7)
+    assert detector.suspected(silence.TRIAL_INTERVAL_MS, 7, 0)
+    assert detector.record_answer(7)
+    assert not detector.suspected(silence.TRIAL_INTERVAL_MS, 7, 0)
+
+
+def test_record_of_a_removed_target_is_deleted(
+    detector: silence.SilenceDetector,
 ) -> None:
-    """A server that was silent comes back.
-
-    If all flows tried it at once, all would wait when it did not.
-    """
-    book.record_unanswered(0, 7)
-    book.record_unanswered(0, 7)
-    assert not book.suspected(silence.TRIAL_INTERVAL_MS, 7, 0)
-    book.record_trial(silence.TRIAL_INTERVAL_MS, 7)
-    assert book.suspected(silence.TRIAL_INTERVAL_MS, 7, 0)
-    assert book.record_answer(7)
-    assert not book.suspected(silence.TRIAL_INTERVAL_MS, 7, 0)
-
-
-def test_forgets_targets_that_left(book: silence.SilenceDetector) -> None:
-    book.record_unanswered(0, 7)
-    book.record_unanswered(0, 7)
-    book.keep([])
-    assert not book.silent(7)
+    detector.record_unanswered(0, 7)
+    detector.record_unanswered(0, 7)
+    detector.keep([])
+    assert not detector.silent(7)
--- a/tests/test_stall.py
+++ b/tests/test_stall.py
@@ -1,4 +1,4 @@
-"""Noticing that a VM has stood still."""
+"""Tests of the detection of stalls."""
 
 from eelgrasswick.cookie import stall
 
@@ -10,11 +10,10 @@
     assert not stalls.gap_since(1500, 1950)
 
 
-def test_gap_during_a_probe_is_noticed() -> None:
-    """A VM stands still while it waits for a server to accept a connection.
+def test_gap_during_a_probe_is_detected() -> None:
+    """Guards against resets of a live server's flows after a stall during a probe.
 
-    When it goes on, the timer of the probe runs first and the answer is read
-    later. Taken for dead, a server that lives would lose its open flows.
+    After the stall the timer of the probe runs first, and the answer is read later.
     """
     stalls = stall.Stalls(1000)
     stalls.record_activity(1100)
@@ -23,8 +22,8 @@
     assert not stalls.gap_since(1300, 1350)
 
 
-def test_gap_that_has_just_ended_is_noticed() -> None:
-    """The timer of the probe is the first thing that runs after the gap."""
+def test_gap_that_has_just_ended_is_detected() -> None:
+    """Guards against a missed gap when the probe's timer runs first after it."""
     stalls = stall.Stalls(1000)
     stalls.record_activity(1100)
     assert stalls.gap_since(1110, 1110 + 250)
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -1,4 +1,4 @@
-"""What happens to each packet of a caller."""
+"""Tests of the decisions about callers' packets."""
 
 from eelgrasswick.cookie import (
     catalog,
@@ -25,10 +25,7 @@
 def test_any_vm_forwards_by_the_cookie(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """The fabric's hash moves a flow to a VM that has never seen it.
-
-    Its caller would wait in vain if that VM had to know the flow.
-    """
+    """Guards against flows lost when the fabric's hash moves them to another VM."""
     target = steering_parts.opened(steers)
     other = steering.Steering(
         "z2", segments.Codec(), known, observations.Observations("z2", known)
@@ -40,10 +37,10 @@
 
 
 def test_flow_stays_on_the_target_that_opened_it(steers: steering.Steering) -> None:
-    """Two servers answered copies of one opening packet.
+    """Guards against a reset by a second server that answered the opening packet.
 
-    The caller hands back the cookie it heard last. The server it names does not
-    hold the flow and would reset it.
+    The caller uses the cookie that it received last, whose server may not have the
+    flow.
     """
     first = steering_parts.opened(steers)
     ack = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie)
@@ -56,18 +53,21 @@
 def test_doubled_opening_packet_goes_to_one_target(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
-    """The network delivers an opening packet twice.
+    """Guards against a flow at two targets when the network duplicates a packet.
 
-    At two targets, both would answer, and the caller's packets would name the
-    one that does not hold the flow once another VM carries them.
+    Both targets would answer, and the caller's packets could carry the cookie of the
+    target without the flow once another VM forwards them.
     """
     for number in range(20):
         first = steering_parts.opened(steers, port=44_000 + number)
         assert steering_parts.opened(steers, 1, port=44_000 + number) == first
-        again = steering_parts.opened(steers, 200, copies=1, port=44_000 + number)
+        again = steering_parts.opened(
+            steers, 200, retransmissions=1, port=44_000 + number
+        )
         assert again != first
         assert (
-            steering_parts.opened(steers, 201, copies=1, port=44_000 + number) == again
+            steering_parts.opened(steers, 201, retransmissions=1, port=44_000 + number)
+            == again
         )
         seen.record_answer(202, first)
 
@@ -75,22 +75,22 @@
 def test_copies_that_waited_in_a_queue_go_to_one_target(
     steers: steering.Steering,
 ) -> None:
-    """A VM stood still while a caller sent its opening packet three times.
+    """Guards against a flow at three targets after a stall of the VM.
 
-    It reads all three at once. They say nothing of the target, and at three
-    targets the flow would be open three times.
+    The VM reads the opening packet and both retransmissions at once, which is no sign
+    that the target is silent.
     """
     first = steering_parts.opened(steers, 5000)
-    assert steering_parts.opened(steers, 5001, copies=1) == first
-    assert steering_parts.opened(steers, 5002, copies=2) == first
+    assert steering_parts.opened(steers, 5001, retransmissions=1) == first
+    assert steering_parts.opened(steers, 5002, retransmissions=2) == first
 
 
 def test_wrong_cookie_of_an_open_flow_is_put_right(steers: steering.Steering) -> None:
-    """Two servers answered copies of one opening packet.
+    """Guards against a wrong cookie that stays with the caller.
 
-    The caller's packets name the wrong one from then on. This VM knows better,
-    but the next one that carries the flow does not; the server hands back what
-    it is sent, so the right cookie reaches the caller again.
+    Two servers answered the same opening packet, and the caller uses the wrong
+    cookie. This VM has a record of the flow, but the next VM that carries it has none.
+    The server returns the cookie that it receives, so the caller gets the right one.
     """
     first = steering_parts.opened(steers)
     steering_parts.steer(
@@ -111,10 +111,7 @@
 
 
 def test_unknown_route_is_not_reset_on_old_knowledge(steers: steering.Steering) -> None:
-    """A VM has not heard from the store for a while, and a route was added.
-
-    A reset would tell the caller that there is no such service.
-    """
+    """Guards against resets for a route that was added while the store was away."""
     raw = cookie_parts.packet(cookie_parts.SYN, port=9)
     decision = steering_parts.steer(
         steers, 0, raw, age_ms=steering.MAX_CATALOG_AGE_MS + 1
@@ -125,10 +122,10 @@
 def test_open_flow_on_a_route_that_is_not_known_yet_is_left_alone(
     steers: steering.Steering,
 ) -> None:
-    """A route is added, and a caller opens a flow through a VM that knows it.
+    """Guards against resets of flows on a route that this VM has not received yet.
 
-    The fabric's hash moves the flow to a VM that hears of the route a moment
-    later. A reset would break a flow that goes on well.
+    The caller opened the flow through a VM with the route, and the fabric's hash
+    moved the flow here.
     """
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=5, data=b"GET", port=9)
     decision = steering_parts.steer(steers, 0, raw)
@@ -153,10 +150,7 @@
 def test_service_without_targets_is_refused_at_once(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """All servers of a service are gone.
-
-    A caller that hears nothing waits 1.4 s for what can't come.
-    """
+    """Guards against callers that wait 1.4 s for a service without servers."""
     rows = [cookie_parts.gone_row(f"i-0{item}", 9) for item in "abc"]
     known.update(5, knowledge.Merge(tuple(rows), 0))
     decision = steering_parts.steer(steers, 6, cookie_parts.packet(cookie_parts.SYN))
@@ -165,11 +159,10 @@
 
 
 def test_nobody_is_refused_before_servers_can_be_back() -> None:
-    """All VMs were killed while the store was down, and start as it returns.
+    """Guards against refusals when VMs start together with the store.
 
-    The servers' entries have lapsed and are back within two seconds. Until then
-    a caller that is not answered sends its opening packet again; a refused one
-    gives up.
+    The servers' entries have expired and return within two seconds. Until then an
+    unanswered caller retransmits its opening packet, but a refused caller gives up.
     """
     known = catalog.Catalog(entries.Reader())
     known.update(0, knowledge.Merge((cookie_parts.config_row(1),), 10**9))
@@ -186,10 +179,7 @@
 
 
 def test_unknown_cookie_is_dropped(steers: steering.Steering) -> None:
-    """A packet names a target that this VM has not heard of yet.
-
-    Any answer could end a flow that goes on well at its target.
-    """
+    """Guards against resets of flows to a target that this VM has not received yet."""
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=12345, data=b"GET")
     decision = steering_parts.steer(steers, 0, raw)
     assert decision.outcome is steering.Outcome.UNKNOWN_COOKIE
@@ -199,10 +189,7 @@
 def test_flows_of_other_vms_count(
     steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
 ) -> None:
-    """Another VM of the zone has filled one target.
-
-    A VM that counts its own flows only would fill it further.
-    """
+    """Guards against new flows to a target that another VM of the zone has filled."""
     first, second, elsewhere = known.accepting("desk")
     filled = [reports.Entry(t.cookie, 30, 0, False) for t in (first, elsewhere)]
     seen.reports.take(0, "10.0.0.8", tuple(filled))
@@ -227,7 +214,7 @@
 
 
 def _overload(seen: observations.Observations, zone: str) -> int:
-    """Have nearly all answers of a zone be late; return the time until when."""
+    """Record late responses of a zone; return the time of the last one in ms."""
     pool = overload.Pool("desk", zone)
     for number in range(400):
         ratio = 0.2 if number < 20 else 1.9
@@ -238,10 +225,7 @@
 def test_flow_that_its_zone_refuses_goes_where_there_is_room(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
-    """A crowd comes to one zone, and the targets of another are half idle.
-
-    Refused there, its callers would be lost although they can be served.
-    """
+    """Guards against refusals in an overloaded zone while another zone has room."""
     now_ms = _overload(seen, "z1")
     assert steering_parts.opened(steers, now_ms).zone == "z2"
 
@@ -249,11 +233,7 @@
 def test_flow_that_no_zone_has_room_for_is_refused_at_once(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
-    """All targets have more to do than they can.
-
-    The caller is told at once that nothing has run, and does not wait for an answer
-    that would be late.
-    """
+    """Guards against callers that wait for a late response when all are overloaded."""
     _overload(seen, "z1")
     now_ms = _overload(seen, "z2")
     decision = steering_parts.steer(
@@ -268,10 +248,9 @@
 def test_copy_of_an_opening_packet_is_not_refused(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
-    """The first opening packet came to a target by another VM.
+    """Guards against the reset of a flow that another VM has already placed.
 
-    Its answer may be on the way to the caller. A reset would then end a flow that a
-    target holds, and tell the caller that nothing has run.
+    The target's answer to the first opening packet may be on the way to the caller.
     """
     _overload(seen, "z1")
     now_ms = _overload(seen, "z2")
--- a/tests/test_steering_silent.py
+++ b/tests/test_steering_silent.py
@@ -1,4 +1,4 @@
-"""What happens to flows of targets that are silent, dead or replaced."""
+"""Tests of steering around targets that are silent, dead or replaced."""
 
 import pytest
 
@@ -16,26 +16,24 @@
 
 
 def test_copy_goes_to_another_target(steers: steering.Steering) -> None:
-    """A server went silent and its entry is still there.
+    """Guards against retransmissions that all go to one silent server.
 
-    The caller sends its opening packet again after 200 ms. To the same server
-    again, the attempt would fail after 1.4 s.
+    The caller's attempt would fail after 1.4 s.
     """
     first = steering_parts.opened(steers)
-    again = steering_parts.opened(steers, 200, copies=1)
+    again = steering_parts.opened(steers, 200, retransmissions=1)
     assert again != first
 
 
 def test_silent_target_is_left_out(steers: steering.Steering) -> None:
-    """Several callers in a row get no answer from one server.
-
-    Each further one would lose 200 ms there.
-    """
+    """Guards against callers that each lose 200 ms at the same silent server."""
     first = steering_parts.opened(steers)
     for number in range(1, 40):
         target = steering_parts.opened(steers, number, port=40_100 + number)
         if target == first:
-            steering_parts.opened(steers, number + 200, copies=1, port=40_100 + number)
+            steering_parts.opened(
+                steers, number + 200, retransmissions=1, port=40_100 + number
+            )
     later = {
         steering_parts.opened(steers, 300, port=41_000 + number) for number in range(10)
     }
@@ -45,9 +43,9 @@
 def test_target_that_others_find_silent_is_left_out(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
-    """A server went silent and two other VMs have lost packets to it.
+    """Guards against a VM that ignores two peers' reports of a silent server.
 
-    This VM would lose two callers of its own before it knew.
+    Two of its own callers would lose 200 ms before it detected the silence itself.
     """
     first = steering_parts.opened(steers)
     silent = (reports.Entry(first.cookie, 3, 0, silent=True),)
@@ -62,7 +60,7 @@
 def test_one_other_vm_removes_no_target(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
-    """One VM's own link is broken and it finds every target silent."""
+    """Guards against one VM with a broken link that excludes targets for its peers."""
     first = steering_parts.opened(steers)
     seen.reports.take(0, "10.0.0.8", (reports.Entry(first.cookie, 3, 0, True),))
     targets = {
@@ -74,10 +72,7 @@
 def test_zone_that_is_cut_off_is_left_out_at_once(
     known: catalog.Catalog, seen: observations.Observations, steers: steering.Steering
 ) -> None:
-    """A zone is cut off from the others, where most targets are.
-
-    Its callers would lose 200 ms and more at each of those targets in turn.
-    """
+    """Guards against callers that lose 200 ms at each target of a zone cut off."""
     rows = [
         cookie_parts.target_row(f"i-1{digit}", 20, zone="z2") for digit in "0123456789"
     ]
@@ -98,10 +93,7 @@
 def test_nothing_is_left_out_when_all_are_silent(
     known: catalog.Catalog, seen: observations.Observations
 ) -> None:
-    """A VM's own link to all targets is broken for a moment.
-
-    If it refused every caller, none would come through when the link is back.
-    """
+    """Guards against a VM that refuses all callers after a fault of its own link."""
     for target in known.accepting("desk"):
         seen.record_unanswered(0, target)
         seen.record_unanswered(0, target)
@@ -111,10 +103,7 @@
 def test_data_sent_again_and_again_tells_of_a_silent_target(
     steers: steering.Steering,
 ) -> None:
-    """A server goes silent while its flows are open.
-
-    Their callers send again what they asked; new ones should not go there.
-    """
+    """Guards against new flows to a server whose open flows only retransmit."""
     first = steering_parts.opened(steers)
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
     for now_ms in (10, 210, 610):
@@ -126,7 +115,7 @@
 
 
 def _crash(steers: steering.Steering, seen: observations.Observations) -> model.Target:
-    """Let a target fall silent with one flow open; return it when it is dead."""
+    """Make a target with one open flow silent; return it when it is dead."""
     first = steering_parts.opened(steers)
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
     decision = None
@@ -147,10 +136,7 @@
 def test_flows_of_a_dead_target_are_reset(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
-    """A server crashes while flows are open on it.
-
-    Their callers would wait until their deadline for each request.
-    """
+    """Guards against callers of a crashed server that wait until their deadlines."""
     first = _crash(steers, seen)
     resets = steers.reset_flows(first)
     assert [flow for flow, _ in resets] == [cookie_parts.flow()]
@@ -174,9 +160,9 @@
 def test_dead_target_gets_no_flow(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
-    """A server is dead, and its entry is still there.
+    """Guards against flows placed on a dead server whose entry still exists.
 
-    A flow that is placed on it would be reset with the caller's next packet.
+    Such a flow would be reset with the caller's next packet.
     """
     first = _crash(steers, seen)
     for number in range(30):
@@ -186,10 +172,10 @@
 def test_target_that_is_back_keeps_its_flows(
     steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
 ) -> None:
-    """A server was cut off by itself, taken for dead, and is back.
+    """Guards against resets of flows on a server that only lost its link.
 
-    Another VM has opened a flow on it. A packet of that flow comes here: it goes
-    on, and the server is asked once more whether it is there.
+    Another VM has opened a flow on the server since. This VM forwards its packet and
+    probes the server once more.
     """
     first = _crash(steers, seen)
     steers.reset_flows(first)
@@ -210,9 +196,9 @@
 def test_flows_of_a_replaced_target_are_reset(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """A server crashed and another one has its address by now.
+    """Guards against packets to a server that took over a crashed server's address.
 
-    The packets of its flows would reach the other, which drops them in silence.
+    The new server drops such packets silently, and the callers would wait.
     """
     first = steering_parts.opened(steers)
     row = cookie_parts.target_row(
@@ -229,7 +215,7 @@
 def test_opening_packet_of_a_replaced_target_goes_elsewhere(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """A server is replaced between an opening packet and its copy."""
+    """Guards against a flow lost when its server is replaced while it opens."""
     first = steering_parts.opened(steers)
     address = f"{first.address.host}:{first.address.port}"
     row = cookie_parts.target_row("i-0d", 9, born=9000, address=address)
@@ -244,10 +230,10 @@
 def test_flow_at_a_server_that_started_again_goes_on(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
-    """A server started again while the store was away, and a flow was opened on it.
+    """Guards against resets of flows opened on a server that restarted.
 
-    The flow bears the cookie of the former start. When the new entry is heard of,
-    the flow is open all the same, and its packets must still go there.
+    The server restarted during an outage of the store, and the flow carries the
+    cookie of the former start. It remains open when the new entry arrives.
     """
     first = steering_parts.opened(steers)
     row = cookie_parts.target_row(
@@ -274,9 +260,10 @@
     moved: bool,
     told: bool,
 ) -> None:
-    """Guards against VMs that eject targets that are well.
+    """Guards against the ejection of healthy targets.
 
-    They stand still together, or the fabric changes its hash.
+    Requests look overdue after VMs stalled together, or after the fabric changed its
+    hash.
     """
     first = steering_parts.opened(steers, 5000)
     for now_ms, acknowledged, data in (
@@ -304,9 +291,9 @@
 def test_target_that_hangs_gets_fewer_flows(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
-    """A server opens flows and accepts connections, but answers no request.
+    """Guards against new flows to a server that opens flows but answers no request.
 
-    Its health check is good. Each new flow there costs its caller a deadline.
+    Its health check passes, and each new flow costs its caller a deadline.
     """
     first = steering_parts.opened(steers)
     for number in range(2):
@@ -339,10 +326,12 @@
 def test_opening_packet_that_is_sent_again_leaves_the_zone(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
-    """Guards against a caller whose copies all go to one dark zone."""
+    """Guards against a caller whose retransmissions all go to one zone cut off."""
     for number in range(20):
         first = steering_parts.opened(steers, port=44_000 + number)
-        again = steering_parts.opened(steers, 200, copies=1, port=44_000 + number)
+        again = steering_parts.opened(
+            steers, 200, retransmissions=1, port=44_000 + number
+        )
         assert again.zone != first.zone
         seen.record_answer(201, first)
         seen.record_answer(201, again)
--- a/tests/test_tracker.py
+++ b/tests/test_tracker.py
@@ -1,4 +1,4 @@
-"""What a VM remembers of flows."""
+"""Tests of the records of flows."""
 
 import pytest
 
@@ -24,7 +24,9 @@
     return segments.Codec().decode(raw)
 
 
-def test_answer_time(flows: tracker.Tracker) -> None:
+def test_response_time_ends_at_the_first_acknowledgement(
+    flows: tracker.Tracker,
+) -> None:
     flows.record_placement(0, cookie_parts.flow(), 7, 0)
     assert flows.record_segment(4, _segment(acknowledged=100), 7).opened
     flows.record_segment(5, _segment(acknowledged=100, data=b"GET"), 7)
@@ -33,22 +35,22 @@
     assert flows.record_segment(36, _segment(acknowledged=4100), 7).answer_ms is None
 
 
-def test_pause_of_the_caller_is_no_answer_time(flows: tracker.Tracker) -> None:
-    """An answer of one packet is acknowledged only with the next request.
+def test_pause_of_the_caller_is_no_response_time(flows: tracker.Tracker) -> None:
+    """Guards against a caller's pause that makes its target look slow.
 
-    Taken for work, the caller's pause would make its target look slow.
+    The caller acknowledges a response of one packet only with its next request.
     """
     flows.record_segment(0, _segment(data=b"POST"), 7)
     late = _segment(acknowledged=600, data=b"POST")
     assert flows.record_segment(tracker.MAX_SAMPLE_MS + 1, late, 7).answer_ms is None
 
 
-def test_repeated_data(flows: tracker.Tracker) -> None:
+def test_same_data_twice_is_a_retransmission(flows: tracker.Tracker) -> None:
     assert not flows.record_segment(0, _segment(data=b"GET"), 7).retransmitted
     assert flows.record_segment(200, _segment(data=b"GET"), 7).retransmitted
 
 
-def test_counts_flows_until_they_end(flows: tracker.Tracker) -> None:
+def test_flow_is_counted_until_it_ends(flows: tracker.Tracker) -> None:
     flows.record_placement(0, cookie_parts.flow(1), 7, 0)
     flows.record_placement(0, cookie_parts.flow(), 7, 0)
     assert flows.flows_on(7) == 2
@@ -59,10 +61,10 @@
     assert len(flows) == 0
 
 
-def test_memory_is_bounded(
+def test_number_of_records_is_bounded(
     flows: tracker.Tracker, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A flood of opening packets comes from addresses that don't exist."""
+    """Guards against a flood of opening packets that exhausts the memory."""
     monkeypatch.setattr(tracker, "MAX_FLOWS", 50)
     for port in range(1000):
         flows.record_placement(port, cookie_parts.flow(port), port % 3, 0)
@@ -78,9 +80,9 @@
 
 
 def test_request_without_an_answer_is_overdue(flows: tracker.Tracker) -> None:
-    """A server crashes and is reachable, so that it resets its flows itself.
+    """Guards against a crashed server that goes undetected.
 
-    The VM sees none of that, only that the flow it forwarded is silent.
+    Its machine resets the flows itself, and the VM only sees that a flow is silent.
     """
     _asked(flows, 10, 1, 100)
     flows.record_segment(40, _segment(acknowledged=2500), 7)
@@ -91,7 +93,7 @@
 
 
 def test_first_request_without_an_answer_is_overdue(flows: tracker.Tracker) -> None:
-    """Guards against a target that hangs and is seen by its new flows only."""
+    """Guards against a target that hangs and has no flow with an earlier response."""
     _asked(flows, 10, 1, 100)
     assert flows.take_overdue(10 + tracker.OVERDUE_MS) == [tracker.Overdue(7, True)]
 
@@ -99,7 +101,7 @@
 def test_request_that_is_still_being_sent_is_not_overdue(
     flows: tracker.Tracker,
 ) -> None:
-    """Guards against uploads that make their targets look as if they hung."""
+    """Guards against uploads that make targets look hung."""
     for step in range(5):
         _asked(flows, 10 + 200 * step, 1 + 3 * step, 100)
         assert flows.take_overdue(10 + 200 * step) == []
@@ -112,7 +114,7 @@
 def test_overdue_request_whose_flow_may_have_moved_is_marked(
     flows: tracker.Tracker,
 ) -> None:
-    """Guards against a changed hash that makes targets look as if they hung.
+    """Guards against a changed hash that makes targets look hung.
 
     The caller's acknowledgement passes another VM then.
     """
@@ -124,11 +126,11 @@
     ]
 
 
-def test_request_that_is_sent_again_is_told_of_once(flows: tracker.Tracker) -> None:
-    """A link loses the packets of one flow, and its caller sends them again and again.
+def test_retransmitted_request_is_reported_once(flows: tracker.Tracker) -> None:
+    """Guards against one flow on a lossy link that excludes a working target.
 
-    Told of with each of them, the one flow would keep all new flows away from a
-    target that answers everybody else.
+    If each retransmission were reported, the target would get no new flows although
+    it answers all other callers.
     """
     _asked(flows, 10, 1, 100)
     flows.record_segment(40, _segment(acknowledged=2500), 7)
@@ -149,7 +151,7 @@
     assert flows.waiting_flows == {}
 
 
-def test_flow_whose_opening_goes_elsewhere_waits_there(
+def test_flow_that_is_placed_again_waits_at_its_new_target(
     flows: tracker.Tracker,
 ) -> None:
     flows.record_placement(0, cookie_parts.flow(), 7, 0)
@@ -157,21 +159,15 @@
     assert flows.waiting_flows == {8: 1}
 
 
-def test_caller_that_gave_up_does_not_wait_for_ever(flows: tracker.Tracker) -> None:
-    """A caller gives a request up without a packet that says so.
-
-    Counted on, such requests would make their target look full.
-    """
+def test_wait_of_a_caller_that_gave_up_expires(flows: tracker.Tracker) -> None:
+    """Guards against abandoned requests that make their target look full."""
     _asked(flows, 5, 1, 100)
     flows.expire(5 + tracker.MAX_WAIT_MS)
     assert flows.waiting_flows == {}
 
 
 def test_answer_after_a_resent_request_is_marked(flows: tracker.Tracker) -> None:
-    """A request is lost on the way, and answered once it was sent again.
-
-    Its time tells of the loss, not of the target.
-    """
+    """Guards against a lost request that makes its target look slow."""
     _asked(flows, 5, 1, 100)
     _asked(flows, 205, 1, 100)
     signal = flows.record_segment(240, _segment(acknowledged=2500), 7)
@@ -180,9 +176,9 @@
 
 
 def test_answers_of_one_packet_are_never_overdue(flows: tracker.Tracker) -> None:
-    """A caller acknowledges a short answer only with its next request.
+    """Guards against a probe for each short response.
 
-    Taken for overdue, each of them would cost a probe.
+    A caller acknowledges a response of one packet only with its next request.
     """
     _asked(flows, 10, 1, 100)
     _asked(flows, 1000, 4, 700)
