--- a/eelgrasswick/cookie/cold_targets.py
+++ b/eelgrasswick/cookie/cold_targets.py
@@ -44,8 +44,9 @@
         Args:
             now_ms: Present time.
             target: The decoded entry.
-            watched: False when the entry comes from a listing, in which most targets
-                started long ago. The age is then computed by the time of day.
+            watched: False when the VM has just started or the store returns after an
+                outage, because most targets started long ago then. The age is then
+                computed by the time of day.
         """
         if target.cookie in self._ages:
             return
--- a/eelgrasswick/cookie/liveness.py
+++ b/eelgrasswick/cookie/liveness.py
@@ -18,10 +18,10 @@
 MAX_ZONE_ANSWER_AGE_MS: typing.Final = 1000
 # A target that accepted a connection is not probed again for this long.
 RECHECK_INTERVAL_MS: typing.Final = 1500
-# A target stays dead for this long after a failed probe. A server whose own link was
-# cut looks like a crashed one, and returns without a restart; while it counts as dead,
-# this VM resets every flow that was opened on it since. The next probe of a server that
-# stays dead costs its callers a quarter of a second.
+# A target stays dead for this long after a failed probe. The time is short because a
+# server whose own link was cut looks like a crashed one and returns without a restart,
+# and this VM resets every flow that was opened on it in the meantime. The next probe of
+# a server that stays dead costs its callers a quarter of a second.
 DEAD_HOLD_MS: typing.Final = 2000
 
 
@@ -56,7 +56,7 @@
         if now_ms - zone_answered_ms > MAX_ZONE_ANSWER_AGE_MS:
             return False
         check = self._checks.get(cookie)
-        if check is not None and not self._over(now_ms, check):
+        if check is not None and not self._expired(now_ms, check):
             return False
         self._checks[cookie] = _Check(State.PROBING, now_ms)
         return True
@@ -102,21 +102,21 @@
         check = self._checks.get(cookie)
         if check is None or check.state is not State.DEAD:
             return False
-        return not self._over(now_ms, check)
+        return not self._expired(now_ms, check)
 
     def lapsed(self, now_ms: int, cookie: int) -> bool:
         """Return True when a target's dead state has expired without a new check."""
         check = self._checks.get(cookie)
         if check is None or check.state is not State.DEAD:
             return False
-        return self._over(now_ms, check)
+        return self._expired(now_ms, check)
 
     def record_answer(self, cookie: int) -> bool:
         """Close the check of a target that answered; return True if it was dead."""
         check = self._checks.pop(cookie, None)
         return check is not None and check.state is State.DEAD
 
-    def _over(self, now_ms: int, check: _Check) -> bool:
+    def _expired(self, now_ms: int, check: _Check) -> bool:
         if check.state is State.PROBING:
             return False
         holds_ms = DEAD_HOLD_MS if check.state is State.DEAD else RECHECK_INTERVAL_MS
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -105,7 +105,7 @@
         now_ms: int,
         service: str,
         unanswered_cookie: int,
-        part: float,
+        position: float,
         urgent: bool,
     ) -> Candidates:
         """Return the targets of a service that may get a flow.
@@ -116,12 +116,12 @@
             unanswered_cookie: Cookie of the target that left the opening packet of this
                 flow unanswered, 0 for none; targets of other zones are preferred
                 then.
-            part: Number from 0 to 1, uniform over flows, that selects the sample of
+            position: Number from 0 to 1, uniform over flows, that selects the sample of
                 a large set of targets.
             urgent: True for the most urgent flows of the service.
         """
         accepting = placing.sample_targets(
-            self._catalog.accepting(service), self._zone, part
+            self._catalog.accepting(service), self._zone, position
         )
         usable = []
         for item in self._not_ejected(now_ms, accepting):
--- a/eelgrasswick/cookie/owners.py
+++ b/eelgrasswick/cookie/owners.py
@@ -53,8 +53,8 @@
         Returns:
             The targets that the entry newly shows to have ended.
         """
-        over = self._claim(_Owner(target, revision))
-        new = [item for item in over if item.cookie not in self._ended]
+        ended = self._claim(_Owner(target, revision))
+        new = [item for item in ended if item.cookie not in self._ended]
         self._ended.update(item.cookie for item in new)
         return new
 
--- a/eelgrasswick/cookie/placing.py
+++ b/eelgrasswick/cookie/placing.py
@@ -98,7 +98,11 @@
     """
     own = [item for item in candidates if item.target.zone == zone]
     others = [item for item in candidates if item.target.zone != zone]
-    if own and others and _fill(own) > SPILL_FACTOR * _fill(others) + SPILL_SLACK:
+    if (
+        own
+        and others
+        and _flows_per_slot(own) > SPILL_FACTOR * _flows_per_slot(others) + SPILL_SLACK
+    ):
         own = others
     chosen = own or others
     if not chosen:
@@ -107,19 +111,19 @@
 
 
 def sample_targets(
-    targets: typing.Sequence[model.Target], zone: str, part: float
+    targets: typing.Sequence[model.Target], zone: str, position: float
 ) -> list[model.Target]:
     """Return the targets that are considered for a flow, this VM's zone first.
 
     Args:
         targets: All targets that take flows.
         zone: Availability zone of this VM.
-        part: Number from 0 to 1, uniform over flows, so that all targets of a group
+        position: Number from 0 to 1, uniform over flows, so that all targets of a group
             are considered equally often.
     """
     own = [item for item in targets if item.zone == zone]
     others = [item for item in targets if item.zone != zone]
-    return [*_window(own, part), *_window(others, part)]
+    return [*_window(own, position), *_window(others, position)]
 
 
 def pick_service(shares: typing.Sequence[model.Share], fraction: float) -> str:
@@ -139,15 +143,15 @@
     return shares[-1].service
 
 
-def _window(targets: list[model.Target], part: float) -> list[model.Target]:
+def _window(targets: list[model.Target], position: float) -> list[model.Target]:
     if len(targets) <= SAMPLE_SIZE:
         return targets
-    start = int(part * len(targets))
+    start = int(position * len(targets))
     found = targets[start : start + SAMPLE_SIZE]
     return found + targets[: SAMPLE_SIZE - len(found)]
 
 
-def _fill(candidates: typing.Sequence[Candidate]) -> float:
+def _flows_per_slot(candidates: typing.Sequence[Candidate]) -> float:
     flows = sum(item.flows for item in candidates)
     return flows / sum(item.capacity for item in candidates)
 
--- a/eelgrasswick/cookie/speed.py
+++ b/eelgrasswick/cookie/speed.py
@@ -47,8 +47,8 @@
             return
         # The first samples are averaged with equal weights, so that a slow response
         # at the start does not dominate the mean for long.
-        part = max(SMOOTHING, 1 / (known.samples + 1))
-        mean_ms = known.mean_ms + part * (answer_ms - known.mean_ms)
+        weight = max(SMOOTHING, 1 / (known.samples + 1))
+        mean_ms = known.mean_ms + weight * (answer_ms - known.mean_ms)
         self._answers[cookie] = SmoothedAnswerTime(mean_ms, known.samples + 1)
 
     def mean_ms(self, cookie: int) -> float | None:
--- a/eelgrasswick/cookie/stall.py
+++ b/eelgrasswick/cookie/stall.py
@@ -1,9 +1,8 @@
 """Detects stalls of this VM.
 
-After a VM was suspended, or got no processor time because of other virtual machines
-on its host, its timers run before it reads the packets that arrived in the meantime.
-A probe then times out although its answer is in the socket, and queued packets look
-new.
+After a VM was suspended, or got no processor time because of other load on its host,
+its timers run before it reads the packets that arrived in the meantime. A probe then
+times out although its answer is in the socket, and queued packets look new.
 """
 
 import typing
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -19,7 +19,7 @@
 # The number of the last retransmission of an opening packet, which callers send
 # 600 ms after the one before. The original packet has number 0.
 LAST_RETRANSMISSION: typing.Final = 2
-_LOW_BITS: typing.Final = 2**16
+_HIGH_BITS: typing.Final = 2**16
 _NUMBERS: typing.Final = struct.Struct(">III")
 
 
@@ -119,8 +119,8 @@
         # caller without a response retransmits its opening packet. An open flow
         # proves that some VM has the route, so this VM resets an open flow only
         # after it has seen the removal of the route.
-        known = segment.opening or self._catalog.dropped(segment)
-        if segment.reset or age_ms > MAX_CATALOG_AGE_MS or not known:
+        resettable = segment.opening or self._catalog.dropped(segment)
+        if segment.reset or age_ms > MAX_CATALOG_AGE_MS or not resettable:
             return Decision(Outcome.NO_ROUTE, None, None, None)
         datagram = self._codec.reset(segment.flow, segment.acknowledged)
         return Decision(Outcome.NO_ROUTE_RESET, datagram, None, None)
@@ -131,19 +131,21 @@
         flow = segment.flow
         retransmissions = segment.acknowledged
         record = self._observations.tracker.get(flow)
-        before = self._catalog.by_cookie(record.cookie) if record is not None else None
-        if record is None or before is None or self._is_dead(now_ms, before):
+        previous = (
+            self._catalog.by_cookie(record.cookie) if record is not None else None
+        )
+        if record is None or previous is None or self._is_dead(now_ms, previous):
             return self._place(now_ms, route, flow, raw, retransmissions, None)
         too_soon = now_ms - record.placed_ms < MIN_RETRANSMISSION_MS
         unanswered = retransmissions > record.retransmissions
-        moves = unanswered or self._catalog.evacuations.covers(before)
+        moves = unanswered or self._catalog.evacuations.covers(previous)
         if record.open or not moves or too_soon:
             # The network duplicated the packet, or the packet was queued behind the
             # first one. Sent to a second target, it would open the flow twice.
-            return self._forwarded_to(Outcome.PLACED, before, raw)
-        decision = self._place(now_ms, route, flow, raw, retransmissions, before)
-        if unanswered and self._observations.record_unanswered(now_ms, before):
-            return decision._replace(probe=before)
+            return self._forwarded_to(Outcome.PLACED, previous, raw)
+        decision = self._place(now_ms, route, flow, raw, retransmissions, previous)
+        if unanswered and self._observations.record_unanswered(now_ms, previous):
+            return decision._replace(probe=previous)
         return decision
 
     def _place(
@@ -158,9 +160,9 @@
         service = placing.pick_service(route.shares, _draws(flow, 0).first)
         unanswered_cookie = silent.cookie if silent is not None else 0
         draws = _draws(flow, retransmissions)
-        # The low bits of the draw are distributed as evenly as the whole number and
-        # are independent of its high bits.
-        low_part = draws.second * _LOW_BITS % 1
+        # The low bits of the draw are as uniform as its high bits and independent of
+        # them.
+        low_part = draws.second * _HIGH_BITS % 1
         urgent = not self._observations.levels.rank(service, route.priority).above
         eligible = self._observations.candidates(
             now_ms, service, unanswered_cookie, low_part, urgent
@@ -295,7 +297,10 @@
         flows = self._observations.tracker.open_flows(target.cookie)
         for flow, _ in flows:
             self._observations.tracker.forget(flow)
-        return [(flow, self._codec.reset(flow, at)) for flow, at in flows]
+        return [
+            (flow, self._codec.reset(flow, acknowledged))
+            for flow, acknowledged in flows
+        ]
 
     def _record_measurement(
         self,
--- a/eelgrasswick/cookie/tracker.py
+++ b/eelgrasswick/cookie/tracker.py
@@ -88,16 +88,16 @@
 
     __slots__ = (
         "acknowledged",
-        "request_acknowledged",
-        "request_ms",
+        "answered_promptly",
         "cookie",
-        "retransmissions",
         "data_end",
         "open",
         "placed_here",
         "placed_ms",
-        "answered_promptly",
+        "request_acknowledged",
+        "request_ms",
         "request_retransmitted",
+        "retransmissions",
     )
 
     def __init__(self, cookie: int, placed_here: bool) -> None:
@@ -207,18 +207,22 @@
         record.acknowledged = segment.acknowledged
         before_ms = record.request_ms
         answer_bytes = (segment.acknowledged - record.request_acknowledged) % _SEQUENCES
-        answer_ms, repeated = _measure(now_ms, record, segment)
+        answer_ms, retransmitted = _measure(now_ms, record, segment)
         measurement = Measurement(
-            opened, answer_ms, answer_bytes, record.request_retransmitted, repeated
+            opened, answer_ms, answer_bytes, record.request_retransmitted, retransmitted
         )
-        record.request_retransmitted = repeated
+        record.request_retransmitted = retransmitted
         if record.request_ms != before_ms:
             self._requests_ms.pop(segment.flow, None)
             self._end_wait(segment.flow, record.cookie)
             if record.request_ms:
                 self._requests_ms[segment.flow] = record.request_ms
                 self._begin_wait(now_ms, segment.flow, record)
-        elif segment.data_bytes and not repeated and segment.flow in self._requests_ms:
+        elif (
+            segment.data_bytes
+            and not retransmitted
+            and segment.flow in self._requests_ms
+        ):
             # The caller is still sending the request, so its response is not due yet.
             self._requests_ms[segment.flow] = now_ms
             self._requests_ms.move_to_end(segment.flow)
@@ -334,9 +338,9 @@
     if not segment.data_bytes:
         return answer_ms, False
     end = segment.sequence + segment.data_bytes
-    repeated = end == record.data_end
+    retransmitted = end == record.data_end
     record.data_end = end
     if not record.request_ms:
         record.request_ms = now_ms
         record.request_acknowledged = segment.acknowledged
-    return answer_ms, repeated
+    return answer_ms, retransmitted
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("per_s", [0.0, 4.0, 40.0])
 @pytest.mark.parametrize("count", [1, 2, 67])
-def test_fleet_keeps_the_limit_under_a_crowd(per_s: float, count: int) -> None:
+def test_fleet_keeps_the_limit_under_overload(per_s: float, count: int) -> None:
     """Guards against VMs that each stay below the limit and exceed it together."""
     vms = _vms(count)
     rng = random.Random(count)
@@ -117,7 +117,7 @@
         known.tick(now_ms, now_ms)
 
 
-def test_cold_target_gets_nothing_while_others_are_warm(
+def test_cold_target_gets_no_flow_while_others_are_warm(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
     """Guards against a server that is overloaded as soon as it has started."""
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -39,7 +39,7 @@
         assert steering_parts.opened(steers, 20, port=port).zone == "z2"
 
 
-def test_open_flow_in_an_evacuated_zone_goes_on(
+def test_open_flow_in_an_evacuated_zone_is_forwarded(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
     """Guards against an evacuation that breaks the open flows of its zone."""
@@ -56,7 +56,7 @@
     assert steering_parts.steer(other, 20, raw).target == target
 
 
-def test_opening_packet_that_is_sent_again_leaves_an_evacuated_zone(
+def test_retransmitted_opening_packet_leaves_an_evacuated_zone(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
     """Guards against a flow that opens late in a zone evacuated in the meantime."""
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -19,7 +19,7 @@
     return entries.Reader().target(row)
 
 
-def test_server_that_took_an_address_ends_the_former(
+def test_server_that_takes_over_an_address_ends_the_former(
     known: owners.Owners,
 ) -> None:
     """Guards against callers that wait for a server whose address was taken over.
@@ -43,7 +43,7 @@
     assert not known.ended(latter.cookie)
 
 
-def test_server_that_started_again_ends_nobody(known: owners.Owners) -> None:
+def test_restarted_server_ends_no_target(known: owners.Owners) -> None:
     """Guards against resets of flows on a server that restarted under its name.
 
     While the store is away, VMs with the entry of the former start place flows on the
@@ -55,7 +55,7 @@
     assert not known.ended(former.cookie)
 
 
-def test_entry_that_was_written_late_ends_nobody(
+def test_entry_that_was_written_late_ends_no_target(
     known: owners.Owners,
 ) -> None:
     """Guards against a dead server that appears to replace a live one.
@@ -69,7 +69,7 @@
     assert not known.ended(latter.cookie)
 
 
-def test_wrong_clock_of_a_server_ends_nobody(known: owners.Owners) -> None:
+def test_wrong_clock_of_a_server_ends_no_target(known: owners.Owners) -> None:
     """Guards against a new server that looks like the former by its late clock."""
     former, latter = _target("i-0a", 9000), _target("i-0b", 4000)
     known.record_entry(former, 5)
@@ -77,7 +77,7 @@
     assert not known.ended(former.cookie)
 
 
-def test_entry_that_changes_ends_nobody(known: owners.Owners) -> None:
+def test_changed_entry_ends_no_target(known: owners.Owners) -> None:
     target = _target("i-0a", 1000)
     known.record_entry(target, 5)
     assert known.record_entry(target._replace(draining=True), 9) == []
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -50,7 +50,7 @@
     assert steering_parts.steer(steers, 220, raw).target == first
 
 
-def test_doubled_opening_packet_goes_to_one_target(
+def test_duplicated_opening_packet_goes_to_one_target(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
     """Guards against a flow at two targets when the network duplicates a packet.
@@ -72,7 +72,7 @@
         seen.record_answer(202, first)
 
 
-def test_copies_that_waited_in_a_queue_go_to_one_target(
+def test_queued_retransmissions_go_to_one_target(
     steers: steering.Steering,
 ) -> None:
     """Guards against a flow at three targets after a stall of the VM.
@@ -85,7 +85,7 @@
     assert steering_parts.opened(steers, 5002, retransmissions=2) == first
 
 
-def test_wrong_cookie_of_an_open_flow_is_put_right(steers: steering.Steering) -> None:
+def test_wrong_cookie_of_an_open_flow_is_corrected(steers: steering.Steering) -> None:
     """Guards against a wrong cookie that stays with the caller.
 
     Two servers answered the same opening packet, and the caller uses the wrong
@@ -110,7 +110,9 @@
     assert decision.address is None
 
 
-def test_unknown_route_is_not_reset_on_old_knowledge(steers: steering.Steering) -> None:
+def test_unknown_route_is_not_reset_by_an_old_catalog(
+    steers: steering.Steering,
+) -> None:
     """Guards against resets for a route that was added while the store was away."""
     raw = cookie_parts.packet(cookie_parts.SYN, port=9)
     decision = steering_parts.steer(
@@ -119,7 +121,7 @@
     assert decision.datagram is None
 
 
-def test_open_flow_on_a_route_that_is_not_known_yet_is_left_alone(
+def test_open_flow_on_a_route_not_received_yet_is_not_reset(
     steers: steering.Steering,
 ) -> None:
     """Guards against resets of flows on a route that this VM has not received yet.
@@ -133,7 +135,7 @@
     assert decision.datagram is None
 
 
-def test_dropped_route_carries_nothing(
+def test_packet_on_a_removed_route_is_not_forwarded(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
     target = steering_parts.opened(steers)
@@ -158,7 +160,7 @@
     assert decision.datagram is not None
 
 
-def test_nobody_is_refused_before_servers_can_be_back() -> None:
+def test_no_flow_is_refused_before_servers_can_return() -> None:
     """Guards against refusals when VMs start together with the store.
 
     The servers' entries have expired and return within two seconds. Until then an
@@ -186,7 +188,7 @@
     assert decision.datagram is None
 
 
-def test_flows_of_other_vms_count(
+def test_flows_of_other_vms_are_counted(
     steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
 ) -> None:
     """Guards against new flows to a target that another VM of the zone has filled."""
@@ -222,7 +224,7 @@
     return 10 * number
 
 
-def test_flow_that_its_zone_refuses_goes_where_there_is_room(
+def test_flow_refused_by_its_zone_goes_to_a_zone_with_room(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
     """Guards against refusals in an overloaded zone while another zone has room."""
@@ -230,7 +232,7 @@
     assert steering_parts.opened(steers, now_ms).zone == "z2"
 
 
-def test_flow_that_no_zone_has_room_for_is_refused_at_once(
+def test_flow_is_refused_at_once_when_all_zones_are_overloaded(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
     """Guards against callers that wait for a late response when all are overloaded."""
@@ -245,7 +247,7 @@
     assert seen.tracker.waiting_flows == {}
 
 
-def test_copy_of_an_opening_packet_is_not_refused(
+def test_retransmitted_opening_packet_is_not_refused(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
     """Guards against the reset of a flow that another VM has already placed.
--- a/tests/test_steering_silent.py
+++ b/tests/test_steering_silent.py
@@ -15,7 +15,7 @@
 from tests import cookie_parts, steering_parts
 
 
-def test_copy_goes_to_another_target(steers: steering.Steering) -> None:
+def test_retransmission_goes_to_another_target(steers: steering.Steering) -> None:
     """Guards against retransmissions that all go to one silent server.
 
     The caller's attempt would fail after 1.4 s.
@@ -25,7 +25,7 @@
     assert again != first
 
 
-def test_silent_target_is_left_out(steers: steering.Steering) -> None:
+def test_silent_target_is_excluded(steers: steering.Steering) -> None:
     """Guards against callers that each lose 200 ms at the same silent server."""
     first = steering_parts.opened(steers)
     for number in range(1, 40):
@@ -40,7 +40,7 @@
     assert first not in later
 
 
-def test_target_that_others_find_silent_is_left_out(
+def test_target_reported_as_silent_by_two_vms_is_excluded(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
     """Guards against a VM that ignores two peers' reports of a silent server.
@@ -57,7 +57,7 @@
     assert first not in targets
 
 
-def test_one_other_vm_removes_no_target(
+def test_report_of_one_vm_excludes_no_target(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
     """Guards against one VM with a broken link that excludes targets for its peers."""
@@ -69,7 +69,7 @@
     assert first in targets
 
 
-def test_zone_that_is_cut_off_is_left_out_at_once(
+def test_zone_that_is_cut_off_is_excluded_at_once(
     known: catalog.Catalog, seen: observations.Observations, steers: steering.Steering
 ) -> None:
     """Guards against callers that lose 200 ms at each target of a zone cut off."""
@@ -90,7 +90,7 @@
     assert targets == set(own)
 
 
-def test_nothing_is_left_out_when_all_are_silent(
+def test_no_target_is_excluded_when_all_are_silent(
     known: catalog.Catalog, seen: observations.Observations
 ) -> None:
     """Guards against a VM that refuses all callers after a fault of its own link."""
@@ -100,7 +100,7 @@
     assert len(seen.candidates(10, "desk", 0, 0.5, True).candidates) == 3
 
 
-def test_data_sent_again_and_again_tells_of_a_silent_target(
+def test_target_whose_flows_only_retransmit_is_excluded(
     steers: steering.Steering,
 ) -> None:
     """Guards against new flows to a server whose open flows only retransmit."""
@@ -169,7 +169,7 @@
         assert steering_parts.opened(steers, 1600, port=44_000 + number) != first
 
 
-def test_target_that_is_back_keeps_its_flows(
+def test_target_that_returns_keeps_its_flows(
     steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
 ) -> None:
     """Guards against resets of flows on a server that only lost its link.
@@ -227,7 +227,7 @@
     assert decision.target.cookie != first.cookie
 
 
-def test_flow_at_a_server_that_started_again_goes_on(
+def test_flow_on_a_restarted_server_is_forwarded(
     steers: steering.Steering, known: catalog.Catalog
 ) -> None:
     """Guards against resets of flows opened on a server that restarted.
@@ -250,15 +250,15 @@
 
 
 @pytest.mark.parametrize(
-    ("paused", "moved", "told"),
+    ("paused", "moved", "reported"),
     [(False, False, True), (True, False, False), (False, True, False)],
 )
-def test_overdue_request_is_a_sign_only_while_nothing_else_explains_it(
+def test_overdue_request_is_evidence_only_without_another_cause(
     steers: steering.Steering,
     seen: observations.Observations,
     paused: bool,
     moved: bool,
-    told: bool,
+    reported: bool,
 ) -> None:
     """Guards against the ejection of healthy targets.
 
@@ -285,7 +285,7 @@
         raw = cookie_parts.packet(cookie_parts.ACK, 40_900, cookie=first.cookie)
         steering_parts.steer(steers, 5200, raw)
     witnesses = seen.take_overdue(5400)[1]
-    assert bool(witnesses) == told
+    assert bool(witnesses) == reported
 
 
 def test_target_that_hangs_gets_fewer_flows(
@@ -323,7 +323,7 @@
     )
 
 
-def test_opening_packet_that_is_sent_again_leaves_the_zone(
+def test_retransmitted_opening_packet_leaves_the_zone(
     steers: steering.Steering, seen: observations.Observations
 ) -> None:
     """Guards against a caller whose retransmissions all go to one zone cut off."""
