--- a/tests/test_cookie_load.py
+++ b/tests/test_cookie_load.py
@@ -158,7 +158,7 @@
     elsewhere = unserved()
     monkeypatch.setattr(
         observations.Observations,
-        "_retried",
+        "_retransmission_targets",
         lambda _, targets, cookie: [t for t in targets if t.cookie != cookie],
     )
     assert elsewhere < 0.95 * unserved()
