--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -271,7 +271,7 @@
 
 def build_carrier(
     loaded: settings.Settings,
-    wire: codec.SegmentCodec,
+    segment_codec: codec.SegmentCodec,
     reader: source.Reader,
     descriptor: int,
 ) -> Carrier:
@@ -279,26 +279,26 @@
 
     Args:
         loaded: Validated settings.
-        wire: Reads and writes the fabric's packets.
+        segment_codec: Reads and writes the fabric's packets.
         reader: Decodes the rows of the store.
         descriptor: File descriptor of the log.
     """
     vm = loaded.vm
-    counted = stats.Stats()
-    known = catalog.Catalog(reader)
+    counters = stats.Stats()
+    target_catalog = catalog.Catalog(reader)
     parts = Parts(
-        wire,
+        segment_codec,
         knowledge.Knowledge(),
-        known,
+        target_catalog,
         observations.Observations(
             vm.zone,
-            known,
+            target_catalog,
             loaded.policy.refuse,
             vm.peer.host,
             cold_start.Limit(*loaded.cold),
         ),
-        event_log.EventLog(descriptor, vm.name, loaded.log.lines_per_s, counted),
-        counted,
+        event_log.EventLog(descriptor, vm.name, loaded.log.lines_per_s, counters),
+        counters,
     )
     return Carrier(vm.zone, vm.data.port, parts)
 
--- a/eelgrasswick/cookie/cold_targets.py
+++ b/eelgrasswick/cookie/cold_targets.py
@@ -76,8 +76,8 @@
 
     def age_ms(self, now_ms: int, cookie: int) -> int | None:
         """Return a lower bound of a target's age; None if it is unknown."""
-        known = self._ages.get(cookie)
-        return None if known is None else known.age_ms + now_ms - known.seen_ms
+        age = self._ages.get(cookie)
+        return None if age is None else age.age_ms + now_ms - age.seen_ms
 
 
 class Eligible(typing.NamedTuple):
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -58,7 +58,7 @@
     def __init__(
         self,
         zone: str,
-        known: catalog.Catalog,
+        target_catalog: catalog.Catalog,
         refuse: bool = True,
         vm: str = "",
         cold_limit: cold_start.Limit | None = None,
@@ -67,14 +67,14 @@
 
         Args:
             zone: Availability zone of this VM.
-            known: The catalog.
+            target_catalog: The catalog.
             refuse: False to refuse no flow in an overload.
             vm: Identifies this VM among those of the fleet.
             cold_limit: How far a cold target may be loaded above its limit.
         """
         self._zone = zone
         self._vm = zlib.crc32(vm.encode())
-        self._catalog = known
+        self._catalog = target_catalog
         self.tracker = tracker.Tracker()
         self.answer_times = speed.AnswerTimes()
         self.response_times = response_time.ResponseTimes()
@@ -93,9 +93,9 @@
         self.liveness = liveness.Liveness()
         self.cold = cold_targets.ColdTargets(
             cold_start.ColdStart(vm, cold_limit),
-            known.service,
-            known.cold_ms,
-            known.ages,
+            target_catalog.service,
+            target_catalog.cold_ms,
+            target_catalog.ages,
         )
         self._answered_ms: dict[str, int] = {}
         self._factors: dict[int, float] = {}
@@ -357,12 +357,12 @@
         """Return the report for the peers, silent and then fullest targets first."""
         # A VM has flows on few of the thousands of targets, so it does not walk the
         # others.
-        known = (
+        recorded = (
             self.tracker.targets()
             | self._silence.keys()
             | self._response_silence.keys()
         )
-        entries = [self._entry(cookie) for cookie in known]
+        entries = [self._entry(cookie) for cookie in recorded]
         listed = [item for item in entries if item.flows or item.silent]
         listed.sort(key=lambda item: (item.silent, item.flows), reverse=True)
         return tuple(listed[: reports.MAX_ENTRIES])
@@ -407,7 +407,7 @@
         )
 
     def _mean_ms(self, cookie: int) -> float | None:
-        seen: typing.Sequence[float] = self.reports.answers_ms(cookie)
+        reported_ms: typing.Sequence[float] = self.reports.answers_ms(cookie)
         own_ms = self.answer_times.mean_ms(cookie)
-        times_ms = [*seen, own_ms] if own_ms is not None else seen
+        times_ms = [*reported_ms, own_ms] if own_ms is not None else reported_ms
         return sum(times_ms) / len(times_ms) if times_ms else None
--- a/eelgrasswick/cookie/speed.py
+++ b/eelgrasswick/cookie/speed.py
@@ -41,22 +41,22 @@
 
     def record(self, cookie: int, answer_ms: int) -> None:
         """Record the time of one response."""
-        known = self._answers.get(cookie)
-        if known is None:
+        previous = self._answers.get(cookie)
+        if previous is None:
             self._answers[cookie] = SmoothedAnswerTime(float(answer_ms), 1)
             return
         # The first samples are averaged with equal weights, so that a slow response
         # at the start does not dominate the mean for long.
-        weight = max(SMOOTHING, 1 / (known.samples + 1))
-        mean_ms = known.mean_ms + weight * (answer_ms - known.mean_ms)
-        self._answers[cookie] = SmoothedAnswerTime(mean_ms, known.samples + 1)
+        weight = max(SMOOTHING, 1 / (previous.samples + 1))
+        mean_ms = previous.mean_ms + weight * (answer_ms - previous.mean_ms)
+        self._answers[cookie] = SmoothedAnswerTime(mean_ms, previous.samples + 1)
 
     def mean_ms(self, cookie: int) -> float | None:
         """Return a target's smoothed response time; None with too few samples."""
-        known = self._answers.get(cookie)
-        if known is None or known.samples < MIN_SAMPLES:
+        previous = self._answers.get(cookie)
+        if previous is None or previous.samples < MIN_SAMPLES:
             return None
-        return max(1.0, known.mean_ms)
+        return max(1.0, previous.mean_ms)
 
     def keep(self, cookies: typing.Collection[int]) -> None:
         """Delete the records of all other targets."""
@@ -74,12 +74,12 @@
     Returns:
         The factors by cookie, 1 for a target of usual or unknown speed.
     """
-    known = [value for value in means_ms.values() if value is not None]
-    if len(known) < 2:
+    measured_ms = [value for value in means_ms.values() if value is not None]
+    if len(measured_ms) < 2:
         return dict.fromkeys(means_ms, 1.0)
     # This is the harmonic mean of the times, which averages speeds. With the
     # arithmetic mean, one very slow target would make all others look fast.
-    usual_ms = len(known) / sum(1 / value for value in known)
+    usual_ms = len(measured_ms) / sum(1 / value for value in measured_ms)
     return {
         cookie: 1.0 if value is None else _factor(usual_ms, value)
         for cookie, value in means_ms.items()
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -76,22 +76,22 @@
     def __init__(
         self,
         zone: str,
-        wire: codec.SegmentCodec,
-        known: catalog.Catalog,
-        seen: observations.Observations,
+        segment_codec: codec.SegmentCodec,
+        target_catalog: catalog.Catalog,
+        observed: observations.Observations,
     ) -> None:
         """Create the steering of a VM.
 
         Args:
             zone: Availability zone of the VM.
-            wire: Reads and writes the fabric's packets.
-            known: Routes and targets.
-            seen: Observations of flows and targets.
+            segment_codec: Reads and writes the fabric's packets.
+            target_catalog: Routes and targets.
+            observed: Observations of flows and targets.
         """
         self._zone = zone
-        self._codec = wire
-        self._catalog = known
-        self._observations = seen
+        self._codec = segment_codec
+        self._catalog = target_catalog
+        self._observations = observed
 
     def steer(
         self, now_ms: int, age_ms: int, segment: model.Segment, raw: bytes
@@ -235,13 +235,13 @@
         target: model.Target,
         draws: placing.Draws,
     ) -> bool:
-        seen = self._observations
-        seen.levels.opened(now_ms, target.service, route.priority)
+        observed = self._observations
+        observed.levels.opened(now_ms, target.service, route.priority)
         pool = overload.Pool(target.service, target.zone)
-        if not seen.refusals.limiting(pool):
+        if not observed.refusals.limiting(pool):
             return False
-        rank = seen.levels.rank(target.service, route.priority)
-        return draws.refuse < seen.refusals.part(now_ms, pool, rank)
+        rank = observed.levels.rank(target.service, route.priority)
+        return draws.refuse < observed.refusals.part(now_ms, pool, rank)
 
     def _forwarded_to(
         self, outcome: Outcome, target: model.Target, raw: bytes
--- a/eelgrasswick/cookie/tracker.py
+++ b/eelgrasswick/cookie/tracker.py
@@ -55,7 +55,7 @@
     Attributes:
         cookie: Cookie of the flow's target.
         first_request: True when the flow has had no response yet, so that this VM
-            does not know whether its caller acknowledges responses at once.
+            cannot determine whether its caller acknowledges responses at once.
         flows_moved: True when flows moved here from other VMs in the meantime. The
             fabric has changed its hash then, and the acknowledgement of the response
             may have passed another VM.
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -10,7 +10,7 @@
 
 
 @pytest.fixture
-def known() -> owners.Owners:
+def registry() -> owners.Owners:
     return owners.Owners()
 
 
@@ -20,43 +20,43 @@
 
 
 def test_server_that_takes_over_an_address_ends_the_former(
-    known: owners.Owners,
+    registry: owners.Owners,
 ) -> None:
     """Guards against callers that wait for a server whose address was taken over.
 
     The new server accepts connections, so a probe of the former one succeeds.
     """
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
-    assert known.record_entry(former, 5) == []
-    assert known.record_entry(latter, 9) == [former]
-    assert known.ended(former.cookie)
-    assert not known.ended(latter.cookie)
+    assert registry.record_entry(former, 5) == []
+    assert registry.record_entry(latter, 9) == [former]
+    assert registry.ended(former.cookie)
+    assert not registry.ended(latter.cookie)
 
 
 def test_order_in_which_entries_are_read_does_not_matter(
-    known: owners.Owners,
+    registry: owners.Owners,
 ) -> None:
     """Guards against a starting VM that reads the later entry first."""
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
-    assert known.record_entry(latter, 9) == []
-    assert known.record_entry(former, 5) == [former]
-    assert not known.ended(latter.cookie)
+    assert registry.record_entry(latter, 9) == []
+    assert registry.record_entry(former, 5) == [former]
+    assert not registry.ended(latter.cookie)
 
 
-def test_restarted_server_ends_no_target(known: owners.Owners) -> None:
+def test_restarted_server_ends_no_target(registry: owners.Owners) -> None:
     """Guards against resets of flows on a server that restarted under its name.
 
     While the store is away, VMs with the entry of the former start place flows on the
     server, and it accepts them. They are open when the new entry arrives.
     """
     former, latter = _target("i-0a", 1000), _target("i-0a", 9000)
-    known.record_entry(former, 5)
-    assert known.record_entry(latter, 9) == []
-    assert not known.ended(former.cookie)
+    registry.record_entry(former, 5)
+    assert registry.record_entry(latter, 9) == []
+    assert not registry.ended(former.cookie)
 
 
 def test_entry_that_was_written_late_ends_no_target(
-    known: owners.Owners,
+    registry: owners.Owners,
 ) -> None:
     """Guards against a dead server that appears to replace a live one.
 
@@ -64,39 +64,39 @@
     sent, so the revisions alone have the wrong order.
     """
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
-    known.record_entry(latter, 9)
-    assert known.record_entry(former, 11) == []
-    assert not known.ended(latter.cookie)
+    registry.record_entry(latter, 9)
+    assert registry.record_entry(former, 11) == []
+    assert not registry.ended(latter.cookie)
 
 
-def test_wrong_clock_of_a_server_ends_no_target(known: owners.Owners) -> None:
+def test_wrong_clock_of_a_server_ends_no_target(registry: owners.Owners) -> None:
     """Guards against a new server that looks like the former by its late clock."""
     former, latter = _target("i-0a", 9000), _target("i-0b", 4000)
-    known.record_entry(former, 5)
-    assert known.record_entry(latter, 9) == []
-    assert not known.ended(former.cookie)
+    registry.record_entry(former, 5)
+    assert registry.record_entry(latter, 9) == []
+    assert not registry.ended(former.cookie)
 
 
-def test_changed_entry_ends_no_target(known: owners.Owners) -> None:
+def test_changed_entry_ends_no_target(registry: owners.Owners) -> None:
     target = _target("i-0a", 1000)
-    known.record_entry(target, 5)
-    assert known.record_entry(target._replace(draining=True), 9) == []
+    registry.record_entry(target, 5)
+    assert registry.record_entry(target._replace(draining=True), 9) == []
 
 
-def test_each_ended_target_is_returned_once(known: owners.Owners) -> None:
+def test_each_ended_target_is_returned_once(registry: owners.Owners) -> None:
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
-    known.record_entry(former, 5)
-    known.record_entry(latter, 9)
-    assert known.record_entry(latter._replace(draining=True), 12) == []
+    registry.record_entry(former, 5)
+    registry.record_entry(latter, 9)
+    assert registry.record_entry(latter._replace(draining=True), 12) == []
 
 
 def test_forgotten_target_leaves_no_record(
-    known: owners.Owners,
+    registry: owners.Owners,
 ) -> None:
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
-    known.record_entry(former, 5)
-    known.record_entry(latter, 9)
-    known.forget(former)
-    known.forget(latter)
-    assert not known.ended(former.cookie)
-    assert known.record_entry(former, 5) == []
+    registry.record_entry(former, 5)
+    registry.record_entry(latter, 9)
+    registry.forget(former)
+    registry.forget(latter)
+    assert not registry.ended(former.cookie)
+    assert registry.record_entry(former, 5) == []
--- a/tests/test_placing_cost.py
+++ b/tests/test_placing_cost.py
@@ -20,12 +20,12 @@
 class _Counted(reports.Entry):
     """An entry of a report that counts its reads."""
 
-    looks: typing.ClassVar[int] = 0
+    reads: typing.ClassVar[int] = 0
 
     def __getattribute__(self, name: str) -> typing.Any:
         """Count each read of `silent`."""
         if name == "silent":
-            _Counted.looks += 1
+            _Counted.reads += 1
         return super().__getattribute__(name)
 
 
@@ -64,10 +64,10 @@
     9 ms instead of 0.2 ms. Packets behind it waited, and the search used a tenth of a
     small VM's processor.
     """
-    before = _Counted.looks
+    before = _Counted.reads
     for _ in range(10):
         seen.candidates(100, cookie_scenario.SERVICE, 0, 0.5, True)
-    assert _Counted.looks == before
+    assert _Counted.reads == before
 
 
 def test_few_of_many_targets_are_considered() -> None:
--- a/tests/test_probing.py
+++ b/tests/test_probing.py
@@ -33,11 +33,11 @@
     """
     asked: list[bool] = []
 
-    def known() -> bool:
+    def answered() -> bool:
         asked.append(len(asked) >= 2)
         return asked[-1]
 
-    turning.result(probing.wait_for_zone_answer(default_reactor, known))
+    turning.result(probing.wait_for_zone_answer(default_reactor, answered))
     assert asked == [False, False, True]
 
 
