--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards callers' packets by the socket on which they arrive, and probes targets."""
+"""Forwards callers' packets by their socket, and probes suspected targets."""
 
 import typing
 
--- a/tests/test_tracker.py
+++ b/tests/test_tracker.py
@@ -30,8 +30,8 @@
     flows.record_placement(0, cookie_parts.flow(), 7, 0)
     assert flows.record_segment(4, _segment(acknowledged=100), 7).opened
     flows.record_segment(5, _segment(acknowledged=100, data=b"GET"), 7)
-    signal = flows.record_segment(35, _segment(acknowledged=2500), 7)
-    assert signal.answer_ms == 30
+    measurement = flows.record_segment(35, _segment(acknowledged=2500), 7)
+    assert measurement.answer_ms == 30
     assert flows.record_segment(36, _segment(acknowledged=4100), 7).answer_ms is None
 
 
@@ -170,9 +170,9 @@
     """Guards against a lost request that makes its target look slow."""
     _asked(flows, 5, 1, 100)
     _asked(flows, 205, 1, 100)
-    signal = flows.record_segment(240, _segment(acknowledged=2500), 7)
-    assert signal.request_retransmitted
-    assert signal.answer_bytes == 2400
+    measurement = flows.record_segment(240, _segment(acknowledged=2500), 7)
+    assert measurement.request_retransmitted
+    assert measurement.answer_bytes == 2400
 
 
 def test_answers_of_one_packet_are_never_overdue(flows: tracker.Tracker) -> None:
