--- a/eelgrasswick/cookie/exchange.py
+++ b/eelgrasswick/cookie/exchange.py
@@ -1,9 +1,9 @@
-"""Messages between entry VMs, and what each answers to them.
+"""Messages between entry VMs, and the response of a VM to each.
 
-A request carries a number that its answer returns. Only an answer says how old
-knowledge is, and its age counts from when the request was sent: a datagram may
-lie in a queue for seconds, and news of unknown age would make a VM believe that
-it is up to date.
+A request carries a number that its response repeats. Only a response confirms the
+age of a VM's rows, and that age counts from when the request was sent. A datagram
+may stay in a queue for seconds, and a VM that trusted an update of unknown age
+would treat outdated rows as current.
 """
 
 import random
@@ -15,29 +15,32 @@
 from eelgrasswick.cookie import knowledge, peers, reports, source
 from eelgrasswick.decisions import ejection
 
-# Fits one datagram beside the headers at every link's packet size.
+# A message of this size and its headers fit in one packet on every link.
 MAX_BYTES: typing.Final = 1200
 MAX_ROWS: typing.Final = 40
-# What a message holds beside rows and report, and an entry of a report.
+# Upper bounds for the encoded size of a message without its rows and its report,
+# and for one entry of a report.
 _FRAME_BYTES: typing.Final = 250
 _ENTRY_BYTES: typing.Final = 12
-# News goes to three VMs of the own zone and three of others at once.
+# A VM pushes an update at once to this many VMs of its own zone and as many of
+# other zones.
 PUSH_FAN_OUT: typing.Final = 3
-# Word of a dead target is passed on once in this time. Flooded by six VMs each, it
-# is through a fleet of 62 in three hops, some milliseconds.
+# A VM passes on the notice of one dead target at most once in this time. Each VM
+# sends the notice to six others, so it reaches a fleet of 62 in three hops, which
+# take a few milliseconds.
 DEAD_NOTICE_INTERVAL_MS: typing.Final = 5000
-# Witnesses go to so many VMs of the own zone, as many as fit a datagram, and so many
-# wait at most.
+# A datagram with at most MAX_WITNESSES witnesses goes to WITNESS_FAN_OUT VMs of the
+# own zone. At most MAX_PENDING_WITNESSES witnesses wait to be sent.
 WITNESS_FAN_OUT: typing.Final = 4
 MAX_WITNESSES: typing.Final = 60
 MAX_PENDING_WITNESSES: typing.Final = 500
-# An answer later than this is no answer.
+# A response that arrives later than this is ignored.
 RESPONSE_TIMEOUT_MS: typing.Final = 600
 
-_ASK: typing.Final = 1
-_ANSWER: typing.Final = 2
-_NEWS: typing.Final = 3
-_DEAD: typing.Final = 4
+_REQUEST: typing.Final = 1
+_RESPONSE: typing.Final = 2
+_UPDATE: typing.Final = 3
+_DEAD_TARGET: typing.Final = 4
 _WITNESS: typing.Final = 5
 
 
@@ -49,14 +52,14 @@
 
 
 class Received(typing.NamedTuple):
-    """What a message of another VM leads to.
+    """The results of handling a message of another VM.
 
     Attributes:
         sends: Datagrams to send.
-        merge: Rows that were new; None when there was nothing to merge.
-        fetch_from: A VM that knows more than fits a datagram; empty for none.
+        merge: The merge of the message's rows; None when there was nothing to merge.
+        fetch_from: A VM with more new rows than fit in a datagram; empty for none.
         joined: True when the sender was not alive before.
-        dead: Cookies of targets that another VM has found dead.
+        dead_cookies: Cookies of targets that another VM has detected as dead.
         witnesses: VMs of the own zone with overdue requests at targets.
     """
 
@@ -82,41 +85,46 @@
 
 
 class Exchange:
-    """One VM's side of the talk with the others."""
+    """Builds and handles one VM's messages to and from other VMs.
+
+    Attributes:
+        reads_store: False while the store does not respond to this VM.
+        report: The current report of this VM about targets.
+    """
 
     def __init__(
         self,
         zone: str,
-        known: knowledge.Knowledge,
-        others: peers.Peers,
-        said: reports.Reports,
+        replica: knowledge.Knowledge,
+        other_vms: peers.Peers,
+        received_reports: reports.Reports,
         rng: random.Random,
     ) -> None:
-        """Talk about some knowledge with some peers.
+        """Create the exchange of one VM.
 
         Args:
             zone: Availability zone of this VM.
-            known: What it knows of the store.
-            others: The other VMs.
-            said: Takes their reports of targets.
+            replica: This VM's copy of the store's rows.
+            other_vms: The other VMs.
+            received_reports: Records the other VMs' reports about targets.
             rng: Source of randomness.
         """
         self.reads_store = True
         self.report: reports.Report = ()
-        self._reports = said
+        self._reports = received_reports
         self._zone = zone
-        self._knowledge = known
-        self._peers = others
+        self._knowledge = replica
+        self._peers = other_vms
         self._rng = rng
         self._number = rng.getrandbits(31)
-        self._asked: dict[int, tuple[str, int]] = {}
-        self._told_ms: dict[int, int] = {}
-        # Witnesses to tell of, and when each was added.
+        self._pending_requests: dict[int, tuple[str, int]] = {}
+        self._dead_notice_sent_ms: dict[int, int] = {}
+        # Each witness that waits to be sent, and when it was added.
         self._witnesses: list[tuple[ejection.Witness, int]] = []
 
     def due_requests(self, now_ms: int) -> tuple[list[Outgoing], list[str]]:
-        """Return the requests that are due, and VMs that count as gone now."""
-        self._forget_asked(now_ms)
+        """Return the requests that are due, and the VMs that are dead from now on."""
+        self._expire_requests(now_ms)
         hosts = self._peers.next_hosts()
         gone = [host for host in hosts if self._peers.record_request(host)]
         for host in gone:
@@ -124,104 +132,106 @@
         return [self._request(now_ms, host) for host in hosts], gone
 
     def update_messages(self, now_ms: int, merge: knowledge.Merge) -> list[Outgoing]:
-        """Return the datagrams that tell some others what is new."""
+        """Return the datagrams that push new rows to some other VMs."""
         if not merge.rows:
             return []
         base = min(row.revision for row in merge.rows) - 1
-        payload = self._encode(now_ms, _NEWS, 0, self._short(base, ()), ())
+        payload = self._encode(
+            now_ms, _UPDATE, 0, self._changes_for_datagram(base, ()), ()
+        )
         return [
             Outgoing(host, payload)
             for host in self._peers.select_push_hosts(PUSH_FAN_OUT)
         ]
 
     def dead_target_notices(self, now_ms: int, cookie: int) -> list[Outgoing]:
-        """Return the datagrams that tell some others of a dead target.
+        """Return the datagrams that notify some other VMs of a dead target.
 
-        A VM of a large fleet has one flow or none on a target, and would find out
-        only when that flow's caller has lost a request.
+        A VM of a large fleet has at most one flow on a target. Without the notice it
+        would detect the failure only after that flow's caller has lost a request.
         """
-        self._told_ms = {
+        self._dead_notice_sent_ms = {
             item: at_ms
-            for item, at_ms in self._told_ms.items()
+            for item, at_ms in self._dead_notice_sent_ms.items()
             if now_ms - at_ms < DEAD_NOTICE_INTERVAL_MS
         }
-        if cookie in self._told_ms:
+        if cookie in self._dead_notice_sent_ms:
             return []
-        self._told_ms[cookie] = now_ms
-        word = (reports.TargetReport(cookie, 0, 0, True),)
-        payload = self._encode(now_ms, _DEAD, 0, None, word)
+        self._dead_notice_sent_ms[cookie] = now_ms
+        notice = (reports.TargetReport(cookie, 0, 0, True),)
+        payload = self._encode(now_ms, _DEAD_TARGET, 0, None, notice)
         return [
             Outgoing(host, payload)
             for host in self._peers.select_push_hosts(PUSH_FAN_OUT)
         ]
 
     def add_witness(self, now_ms: int, item: ejection.Witness) -> None:
-        """Have a witness told to other VMs of the zone with the next ones."""
+        """Queue a witness for the next datagrams to other VMs of the zone."""
         if len(self._witnesses) < MAX_PENDING_WITNESSES:
             self._witnesses.append((item, now_ms))
 
     def witness_messages(self, now_ms: int) -> list[Outgoing]:
-        """Return the datagrams that tell some VMs of the zone of witnesses.
+        """Return the datagrams that send queued witnesses to VMs of the zone.
 
-        Targets are mostly used from their own zone, and VMs of another zone may see
-        them across a cut.
+        Witnesses stay within the zone because targets are mostly used from their own
+        zone, and a VM of another zone may be cut off from them by a network partition.
         """
         if not self._witnesses:
             return []
-        told = self._witnesses[:MAX_WITNESSES]
+        batch = self._witnesses[:MAX_WITNESSES]
         del self._witnesses[:MAX_WITNESSES]
         aged = [
-            item._replace(age_ms=item.age_ms + now_ms - at_ms) for item, at_ms in told
+            item._replace(age_ms=item.age_ms + now_ms - at_ms) for item, at_ms in batch
         ]
         payload = self._encode(now_ms, _WITNESS, 0, None, aged)
         hosts = self._peers.select_same_zone(WITNESS_FAN_OUT)
         return [Outgoing(host, payload) for host in hosts]
 
     def receive(self, now_ms: int, host: str, payload: bytes) -> Received:
-        """Take a datagram of another VM.
+        """Handle a datagram of another VM.
 
         Raises:
-            errors.MessageInvalidError: It is no message of this kind.
+            errors.MessageInvalidError: The datagram is not a valid peer message.
         """
         item = _decode(payload)
         joined = self._peers.record_contact(now_ms, host, item.zone, item.reads_store)
         self._peers.add_members(now_ms, item.members)
-        if item.kind in (_ASK, _ANSWER):
+        if item.kind in (_REQUEST, _RESPONSE):
             self._reports.record(now_ms, host, item.report)
         merge, fetch = self._merge(now_ms, host, item)
         sends: list[Outgoing] = []
-        if item.kind == _ASK:
-            sends.append(self._answer(now_ms, host, item))
-        elif item.kind == _ANSWER:
-            self._confirm(now_ms, host, item)
+        if item.kind == _REQUEST:
+            sends.append(self._response(now_ms, host, item))
+        elif item.kind == _RESPONSE:
+            self._record_response(now_ms, host, item)
         if merge is not None:
             sends += self.update_messages(now_ms, merge)
         dead: tuple[int, ...] = ()
-        if item.kind == _DEAD:
+        if item.kind == _DEAD_TARGET:
             dead = tuple(entry.cookie for entry in item.report)
         for cookie in dead:
             sends += self.dead_target_notices(now_ms, cookie)
-        near = item.zone == self._zone
-        witnesses = item.witnesses if near else ()
+        same_zone = item.zone == self._zone
+        witnesses = item.witnesses if same_zone else ()
         return Received(tuple(sends), merge, fetch, joined, dead, witnesses)
 
     def _request(self, now_ms: int, host: str) -> Outgoing:
         self._number += 1
-        self._asked[self._number] = (host, now_ms)
+        self._pending_requests[self._number] = (host, now_ms)
         return Outgoing(
-            host, self._encode(now_ms, _ASK, self._number, None, self.report)
+            host, self._encode(now_ms, _REQUEST, self._number, None, self.report)
         )
 
-    def _answer(self, now_ms: int, host: str, item: _Message) -> Outgoing:
+    def _response(self, now_ms: int, host: str, item: _Message) -> Outgoing:
         changes = None
         if item.revision < self._knowledge.revision:
-            changes = self._short(item.revision, self.report)
+            changes = self._changes_for_datagram(item.revision, self.report)
         return Outgoing(
-            host, self._encode(now_ms, _ANSWER, item.number, changes, self.report)
+            host, self._encode(now_ms, _RESPONSE, item.number, changes, self.report)
         )
 
-    def _confirm(self, now_ms: int, host: str, item: _Message) -> None:
-        asked = self._asked.pop(item.number, None)
+    def _record_response(self, now_ms: int, host: str, item: _Message) -> None:
+        asked = self._pending_requests.pop(item.number, None)
         if asked is not None and asked[0] == host:
             confirmed_ms = asked[1] - item.age_ms
             self._knowledge.confirm(item.revision, confirmed_ms)
@@ -239,10 +249,12 @@
             return None, host
         return self._knowledge.merge(now_ms, changes), ""
 
-    def _short(self, base: int, report: reports.Report) -> source.Changes | None:
+    def _changes_for_datagram(
+        self, base: int, report: reports.Report
+    ) -> source.Changes | None:
         room = MAX_BYTES - _FRAME_BYTES - _ENTRY_BYTES * len(report)
-        # A listing of everything never fits, and finding that out would cost
-        # the encoding of the whole configuration.
+        # A full listing never fits in a datagram. Measuring its size would cost an
+        # encoding of the whole configuration.
         changes = self._knowledge.changes_since(base)
         if changes.base == 0 or len(changes.rows) > MAX_ROWS:
             return None
@@ -270,26 +282,26 @@
         ]
         return cbor2.dumps(item)
 
-    def _forget_asked(self, now_ms: int) -> None:
+    def _expire_requests(self, now_ms: int) -> None:
         late = [
             number
-            for number, (_, at_ms) in self._asked.items()
+            for number, (_, at_ms) in self._pending_requests.items()
             if now_ms - at_ms > RESPONSE_TIMEOUT_MS
         ]
         for number in late:
-            del self._asked[number]
+            del self._pending_requests[number]
 
 
 def encode_changes(changes: source.Changes) -> bytes:
-    """Return changes as they go over a connection."""
+    """Encode changes for a transfer over a connection."""
     return cbor2.dumps(list(changes))
 
 
 def decode_changes(payload: bytes) -> source.Changes:
-    """Read changes that came over a connection.
+    """Decode changes that were transferred over a connection.
 
     Raises:
-        errors.MessageInvalidError: The bytes are something else.
+        errors.MessageInvalidError: The bytes are not valid changes.
     """
     try:
         return _changes(cbor2.loads(payload))
@@ -297,7 +309,7 @@
         raise errors.MessageInvalidError(f"changes: {error}") from error
 
 
-# What decoding raises when a message holds something else.
+# Exceptions that decoding raises for a message with invalid contents.
 DECODE_ERRORS: typing.Final = (
     cbor2.CBORDecodeError,
     ValueError,
@@ -321,7 +333,7 @@
             members,
             entries,
         ) = cbor2.loads(payload)
-        told = kind == _WITNESS
+        has_witnesses = kind == _WITNESS
         item = _Message(
             decode_count(kind),
             decode_count(number),
@@ -331,13 +343,13 @@
             decode_count(age_ms),
             None if changes is None else _changes(changes),
             tuple(map(decode_member, members[: peers.SAMPLE_SIZE])),
-            () if told else tuple(map(_entry, entries[: reports.MAX_ENTRIES])),
-            tuple(map(_witness, entries[:MAX_WITNESSES])) if told else (),
+            () if has_witnesses else tuple(map(_entry, entries[: reports.MAX_ENTRIES])),
+            tuple(map(_witness, entries[:MAX_WITNESSES])) if has_witnesses else (),
         )
     except DECODE_ERRORS as error:
         raise errors.MessageInvalidError(f"peer message: {error}") from error
-    if item.kind not in (_ASK, _ANSWER, _NEWS, _DEAD, _WITNESS):
-        raise errors.MessageInvalidError(f"peer message of kind {item.kind}")
+    if item.kind not in (_REQUEST, _RESPONSE, _UPDATE, _DEAD_TARGET, _WITNESS):
+        raise errors.MessageInvalidError(f"peer message of unknown kind {item.kind}")
     return item
 
 
@@ -351,7 +363,7 @@
 def _row(item: typing.Any) -> source.Row:
     key, value, revision = item
     if value is not None and not isinstance(value, bytes):
-        raise TypeError("a row's value is no bytes")
+        raise TypeError("a row's value must be bytes or null")
     return source.Row(_text(key), value, decode_count(revision))
 
 
@@ -363,7 +375,7 @@
 
 
 def decode_member(item: typing.Any) -> peers.Member:
-    """Return the member that a decoded value stands for."""
+    """Convert a decoded CBOR value to a member."""
     host, zone = item
     return peers.Member(_text(host), _text(zone))
 
@@ -376,13 +388,13 @@
 
 
 def decode_count(value: object) -> int:
-    """Return a decoded value that must be a count."""
+    """Return a decoded value after checking that it is a non-negative integer."""
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-        raise TypeError(f"{value!r} is no count")
+        raise TypeError(f"{value!r} is not a non-negative integer")
     return value
 
 
 def _text(value: object) -> str:
     if not isinstance(value, str) or len(value) > 256:
-        raise TypeError("text expected")
+        raise TypeError("expected a text of at most 256 characters")
     return value
--- a/eelgrasswick/cookie/gossip.py
+++ b/eelgrasswick/cookie/gossip.py
@@ -1,4 +1,4 @@
-"""The task that talks to the other entry VMs; it owns the socket for that."""
+"""The gossip task: exchanges messages with other entry VMs over its own socket."""
 
 import random
 import typing
@@ -23,16 +23,18 @@
 
 
 class Parts(typing.NamedTuple):
-    """What is told to others and learned from them.
+    """The data that gossip shares, and the callbacks for received messages.
 
     Attributes:
-        knowledge: Rows of the store.
-        learned: Follows the rows that are new.
-        reports: Takes what others say of targets.
-        log: The log.
+        knowledge: This VM's copy of the store's rows.
+        on_merge: Called with the time, the merge, and where its rows came from.
+        reports: Records the other VMs' reports about targets.
+        log: The event log.
         stats: The counters.
-        check: Looks after a target that another VM has found dead.
-        witness: Takes a witness against a target; True to pass it on.
+        check_target: Called with the cookie of a target that another VM has
+            detected as dead.
+        on_witness: Called with a witness against a target; returns True if the
+            witness is to be passed on.
     """
 
     knowledge: knowledge.Knowledge
@@ -45,7 +47,7 @@
 
 
 class Gossip:
-    """Asks, answers and tells; passes on what the store says.
+    """Sends requests, responses and updates to other VMs, and handles theirs.
 
     Attributes:
         port: The socket, for the reactor to listen on.
@@ -55,40 +57,41 @@
     def __init__(
         self,
         reactor: typing.Any,
-        me: model.Address,
+        own_address: model.Address,
         zone: str,
         parts: Parts,
         rng: random.Random,
-        failed: ports.Failed,
+        on_unsent: ports.Failed,
     ) -> None:
-        """Talk for a VM.
+        """Create the gossip task of a VM.
 
         Args:
             reactor: Twisted reactor.
-            me: Its address for other VMs; all VMs use the same port.
-            zone: Its availability zone.
-            parts: What is told and learned.
-            rng: Chooses whom to ask.
-            failed: Told of datagrams that could not be sent.
+            own_address: This VM's address for other VMs; all VMs use the same port.
+            zone: This VM's availability zone.
+            parts: Shared data and callbacks.
+            rng: Selects the VMs that receive requests.
+            on_unsent: Called with the host and the error when a datagram could not
+                be sent.
         """
-        self.port = ports.Port(self._on_peer, failed)
-        self.peers = peers.Peers(me.host, zone, rng)
+        self.port = ports.Port(self._on_datagram, on_unsent)
+        self.peers = peers.Peers(own_address.host, zone, rng)
         self._reactor = reactor
-        self._peer_port = me.port
+        self._peer_port = own_address.port
         self._knowledge = parts.knowledge
-        self._learned = parts.on_merge
+        self._on_merge = parts.on_merge
         self._log = parts.log
         self._stats = parts.stats
         self._reports = parts.reports
-        self._check = parts.check_target
-        self._witness = parts.on_witness
+        self._check_target = parts.check_target
+        self._on_witness = parts.on_witness
         self._exchange = exchange.Exchange(
             zone, parts.knowledge, self.peers, parts.reports, rng
         )
         self._fetching: set[str] = set()
 
     def sender_state(self) -> offer.SenderState:
-        """Return how this VM stands, for VMs that lack rows."""
+        """Return the age and members that accompany rows sent to another VM."""
         age_ms = self._knowledge.age_ms(clock.now_ms())
         members = self.peers.members()
         return offer.SenderState(knowledge.reported_age_ms(age_ms), tuple(members))
@@ -96,12 +99,12 @@
     def send_requests(
         self, now_ms: int, report: reports.Report, reads_store: bool
     ) -> None:
-        """Ask the VMs that are next.
+        """Send the requests that are due, and log the VMs that are now dead.
 
         Args:
             now_ms: Present time.
-            report: What this VM says of targets.
-            reads_store: False while the store does not answer it.
+            report: This VM's report about targets.
+            reads_store: False while the store does not respond to this VM.
         """
         self._reports.others = len(self.peers)
         self._exchange.report = report
@@ -114,29 +117,30 @@
         self.peers.expire(now_ms)
 
     def publish_merge(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
-        """Follow rows that are new, and tell others of them."""
-        self._learned(now_ms, merge, origin)
+        """Apply new rows on this VM, and push them to other VMs."""
+        self._on_merge(now_ms, merge, origin)
         for item in self._exchange.update_messages(now_ms, merge):
             self._send_peer(item)
 
     def report_dead_target(self, cookie: int) -> None:
-        """Tell others that this VM has found a target dead."""
+        """Notify other VMs that this VM has detected a target as dead."""
         for item in self._exchange.dead_target_notices(clock.now_ms(), cookie):
             self._send_peer(item)
 
     def send_witnesses(
         self, now_ms: int, items: typing.Iterable[ejection.Witness]
     ) -> None:
-        """Tell some VMs of the zone of overdue requests, and pass on what they told.
+        """Send new and relayed witnesses to some VMs of the zone.
 
-        Called regularly, so that what comes close together goes in one datagram.
+        The caller runs this periodically, so that witnesses which arise close
+        together share one datagram.
         """
         for item in items:
             self._exchange.add_witness(now_ms, item)
         for outgoing in self._exchange.witness_messages(now_ms):
             self._send_peer(outgoing)
 
-    def _on_peer(self, payload: bytes, host: str) -> None:
+    def _on_datagram(self, payload: bytes, host: str) -> None:
         now_ms = clock.now_ms()
         try:
             received = self._exchange.receive(now_ms, host, payload)
@@ -147,14 +151,14 @@
         for item in received.sends:
             self._send_peer(item)
         for cookie in received.dead_cookies:
-            self._check(cookie)
+            self._check_target(cookie)
         for witness in received.witnesses:
-            if self._witness(now_ms, witness):
+            if self._on_witness(now_ms, witness):
                 self._exchange.add_witness(now_ms, witness)
         if received.joined:
             self._log.write("peer_regained", peer=host, alive=len(self.peers))
         if received.merge is not None:
-            self._learned(now_ms, received.merge, host)
+            self._on_merge(now_ms, received.merge, host)
         if received.fetch_from and received.fetch_from not in self._fetching:
             defer.ensureDeferred(self._fetch(received.fetch_from))
 
--- a/eelgrasswick/cookie/peers.py
+++ b/eelgrasswick/cookie/peers.py
@@ -1,9 +1,9 @@
-"""The other entry VMs: who is there, who watches the store, whom to ask.
+"""Membership of the fleet: live VMs, rank in the zone, and gossip partners.
 
-Every VM asks a few others in turn for what they know (pull); whoever learns
-something new tells a few others at once (push). Both together reach all VMs in
-a time that grows with the logarithm of their number, at a cost for each VM that
-does not grow, and what the push loses the pull repairs.
+Each VM periodically requests updates from a few others in turn (pull), and a VM
+that receives a new row sends it to a few others at once (push). Push and pull
+together reach all VMs in a time that grows with the logarithm of their number. The
+cost for each VM does not grow, and the pull repairs what the push loses.
 """
 
 import heapq
@@ -11,28 +11,31 @@
 import typing
 import zlib
 
-# A VM that left two requests unanswered counts as gone until it is heard.
+# A VM that left this many requests in a row unanswered is treated as dead until it
+# sends a message.
 MAX_UNANSWERED: typing.Final = 2
-# A VM that was not heard for so long is forgotten; addresses are used anew. In a
-# large fleet each is heard once or twice while all are asked in turn, so that the
-# span is no shorter than some of these rounds.
+# A VM without contact for this long expires, because IP addresses are reused. In a
+# large fleet each VM makes contact only once or twice per round of requests to all
+# VMs, so the time is never shorter than EXPIRY_ROUNDS of these rounds.
 EXPIRY_MS: typing.Final = 30_000
 EXPIRY_ROUNDS: typing.Final = 2
-# Addresses that ride on each answer.
+# Number of members that each message carries.
 SAMPLE_SIZE: typing.Final = 6
-# One of this many VMs with the freshest knowledge is asked each time, so that
-# one in four requests of a zone's 20 VMs, 20 a second, reach who watches.
+# Each round sends a request to one of this many VMs with the latest confirmation.
+# One in four requests of a zone's 20 VMs, 20 a second, then reaches the VM that
+# watches the store.
 FRESHEST_CANDIDATES: typing.Final = 4
-# VMs that were just named are asked so many at a time; a fleet that starts all
-# at once knows itself in about three seconds.
+# At most this many newly added VMs receive a request in one round. With this
+# number, all VMs of a fleet that starts at once find each other in about three
+# seconds.
 MAX_NEW_HOSTS_PER_REQUEST: typing.Final = 4
-# Part of the VMs taken for gone that are asked in each turn; one that is back
-# is mostly heard before, as it asks others.
+# Share of the VMs treated as dead that each round of requests includes. A VM that
+# returns usually makes contact earlier, through its own requests.
 RETRY_SHARE: typing.Final = 0.25
 
 
 class Member(typing.NamedTuple):
-    """An entry VM as another one names it."""
+    """An entry VM as listed in a message of another VM."""
 
     host: str
     zone: str
@@ -43,11 +46,14 @@
 
     Attributes:
         host: Its IP address.
-        zone: Its availability zone; empty until it was heard or introduced.
-        heard_ms: When it was last heard; 0 for never.
+        zone: Its availability zone; empty until it made contact or another VM
+            listed it.
+        last_contact_ms: When it last sent a message; 0 for never.
+        added_ms: When its address was added.
         unanswered: Requests in a row that it left unanswered.
-        reads_store: False when the store does not answer it.
-        confirmed_ms: How fresh its knowledge was when it last answered.
+        reads_store: False when the store does not respond to it.
+        confirmed_ms: Time up to which its rows were confirmed complete, as of its
+            last response.
     """
 
     __slots__ = (
@@ -61,7 +67,7 @@
     )
 
     def __init__(self, host: str, now_ms: int) -> None:
-        """Begin with an address that was named by someone."""
+        """Create a peer that has not made contact yet."""
         self.host = host
         self.zone = ""
         self.last_contact_ms = 0
@@ -72,49 +78,49 @@
 
     @property
     def alive(self) -> bool:
-        """True when it was heard and answers."""
+        """True when it has made contact and responds to requests."""
         return self.last_contact_ms > 0 and self.unanswered < MAX_UNANSWERED
 
     @property
     def presumed_alive(self) -> bool:
-        """True when it is alive, or another VM says so and nothing speaks against."""
+        """True when it is alive, or was added and has missed no request yet."""
         return self.alive or (not self.last_contact_ms and not self.unanswered)
 
 
 class Peers:
-    """All other entry VMs that this one has heard of."""
+    """Registry of all other entry VMs whose addresses this VM has received."""
 
     def __init__(self, host: str, zone: str, rng: random.Random) -> None:
-        """Begin without others.
+        """Create an empty registry.
 
         Args:
             host: Own IP address.
             zone: Own availability zone.
-            rng: Chooses whom to ask.
+            rng: Selects the VMs that receive messages.
         """
         self._host = host
         self._zone = zone
         self._rng = rng
         self._peers: dict[str, Peer] = {}
         self._round: list[str] = []
-        self._turns = 0
-        self._began_ms: int | None = None
+        self._request_rounds = 0
+        self._started_ms: int | None = None
 
     def __len__(self) -> int:
         """Return the number of VMs that are alive."""
         return sum(peer.alive for peer in self._peers.values())
 
     def add_hosts(self, now_ms: int, hosts: typing.Iterable[str]) -> None:
-        """Take addresses that settings or another VM named."""
+        """Add addresses from the settings or from another VM."""
         for host in hosts:
             if host != self._host and host not in self._peers:
                 self._peers[host] = Peer(host, now_ms)
-                # Asked next, so that a VM which starts finds the others soon;
-                # knowing only itself it would call the store for its zone.
+                # A new host receives the next request, so that a VM that starts
+                # finds the others soon. A VM without peers calls the store itself.
                 self._round.insert(0, host)
 
     def add_members(self, now_ms: int, members: typing.Iterable[Member]) -> None:
-        """Take VMs that another VM takes for alive."""
+        """Add VMs that another VM lists as alive."""
         for item in members:
             self.add_hosts(now_ms, (item.host,))
             peer = self._peers.get(item.host)
@@ -124,7 +130,7 @@
     def record_contact(
         self, now_ms: int, host: str, zone: str, reads_store: bool
     ) -> bool:
-        """Note a message of a VM; True when it was not alive before."""
+        """Record a message of a VM; return True when it was not alive before."""
         self.add_hosts(now_ms, (host,))
         peer = self._peers.get(host)
         if peer is None:
@@ -137,7 +143,7 @@
         return back
 
     def record_request(self, host: str) -> bool:
-        """Note a request to a VM; True when it counts as gone from now on."""
+        """Record a request to a VM; return True when it is dead from now on."""
         peer = self._peers.get(host)
         if peer is None:
             return False
@@ -145,24 +151,26 @@
         return peer.unanswered == MAX_UNANSWERED and peer.last_contact_ms > 0
 
     def record_response(self, host: str, confirmed_ms: int) -> None:
-        """Note how fresh the knowledge of a VM is that answered."""
+        """Record the time up to which a responding VM's rows are confirmed."""
         peer = self._peers.get(host)
         if peer is not None:
             peer.confirmed_ms = max(peer.confirmed_ms, confirmed_ms)
 
     def next_hosts(self) -> list[str]:
-        """Return whom to ask now: one in turn, and one of those who know most.
+        """Return the next hosts to send a request to.
 
-        The turn, in a shuffled order, finds out who is there. Asked alone it
-        would take an age of knowledge through the fleet in seconds; asking only
-        the freshest VM would have all VMs ask the one that watches the store.
+        The first host is the next of a round in shuffled order, which detects live
+        and dead VMs. Rounds alone would need seconds to spread a confirmation
+        through the fleet. The second host is one of those with the latest
+        confirmation. Requests to the very latest alone would make all VMs send
+        theirs to the VM that watches the store.
         """
-        self._turns += 1
-        chosen = self._next_in_turn()
-        fresh = self._some(self._freshest(), 1)
+        self._request_rounds += 1
+        chosen = self._next_in_round()
+        fresh = self._sample_hosts(self._freshest_hosts(), 1)
         return chosen + [host for host in fresh if host not in chosen]
 
-    def _next_in_turn(self) -> list[str]:
+    def _next_in_round(self) -> list[str]:
         if not self._round:
             self._round = [
                 peer.host
@@ -181,70 +189,70 @@
                 chosen.append(peer.host)
         return chosen
 
-    def _freshest(self) -> list[str]:
-        alive = self._alive()
+    def _freshest_hosts(self) -> list[str]:
+        alive = self._alive_peers()
         best = heapq.nlargest(
             FRESHEST_CANDIDATES, alive, key=lambda peer: peer.confirmed_ms
         )
         return [peer.host for peer in best]
 
     def select_push_hosts(self, count: int) -> list[str]:
-        """Return whom to tell news: some of the own zone and some of others."""
-        alive = self._alive()
+        """Select live VMs to push to: some of the own zone and some of others."""
+        alive = self._alive_peers()
         others = [peer.host for peer in alive if peer.zone != self._zone]
-        return [*self.select_same_zone(count), *self._some(others, count)]
+        return [*self.select_same_zone(count), *self._sample_hosts(others, count)]
 
     def select_same_zone(self, count: int) -> list[str]:
-        """Return some live VMs of the own zone."""
-        own = [peer.host for peer in self._alive() if peer.zone == self._zone]
-        return self._some(own, count)
+        """Select some live VMs of the own zone at random."""
+        own = [peer.host for peer in self._alive_peers() if peer.zone == self._zone]
+        return self._sample_hosts(own, count)
 
     def hosts(self) -> tuple[str, ...]:
-        """Return the addresses of all VMs that were heard of, also of silent ones."""
+        """Return the addresses of all registered VMs, including dead ones."""
         return tuple(self._peers)
 
     def members(self) -> list[Member]:
-        """Return all live VMs, this one among them."""
-        alive = self._alive()
+        """Return all live VMs, including this one."""
+        alive = self._alive_peers()
         others = [Member(peer.host, peer.zone) for peer in alive]
         return [Member(self._host, self._zone), *others]
 
     def sample(self) -> list[Member]:
-        """Return some live VMs to name to others."""
-        alive = self._alive()
+        """Return some live VMs, at random, to list in a message."""
+        alive = self._alive_peers()
         some = self._rng.sample(alive, min(SAMPLE_SIZE, len(alive)))
         return [Member(peer.host, peer.zone) for peer in some]
 
     def rank(self) -> int:
-        """Return this VM's place among those of its zone that read the store.
+        """Return this VM's rank among those of its zone that can read the store.
 
-        The order is the same at all VMs: 0 watches the store for the zone.
+        All VMs compute the same order. Rank 0 watches the store for the zone.
         """
-        mine = _order(self._host)
+        mine = _rank_key(self._host)
         return sum(
             peer.presumed_alive
             and peer.reads_store
             and peer.zone == self._zone
-            and _order(peer.host) < mine
+            and _rank_key(peer.host) < mine
             for peer in self._peers.values()
         )
 
     def expire(self, now_ms: int) -> None:
-        """Forget VMs that were not heard for long."""
-        if self._began_ms is None:
-            self._began_ms = now_ms
-        turn_ms = (now_ms - self._began_ms) / max(1, self._turns)
+        """Remove the VMs whose last contact is too long ago."""
+        if self._started_ms is None:
+            self._started_ms = now_ms
+        turn_ms = (now_ms - self._started_ms) / max(1, self._request_rounds)
         span_ms = max(EXPIRY_MS, EXPIRY_ROUNDS * turn_ms * len(self._peers))
         for peer in list(self._peers.values()):
             if now_ms - max(peer.last_contact_ms, peer.added_ms) > span_ms:
                 del self._peers[peer.host]
 
-    def _alive(self) -> list[Peer]:
+    def _alive_peers(self) -> list[Peer]:
         return [peer for peer in self._peers.values() if peer.alive]
 
-    def _some(self, hosts: list[str], count: int) -> list[str]:
+    def _sample_hosts(self, hosts: list[str], count: int) -> list[str]:
         return self._rng.sample(hosts, min(count, len(hosts)))
 
 
-def _order(host: str) -> int:
+def _rank_key(host: str) -> int:
     return zlib.crc32(host.encode())
--- a/eelgrasswick/cookie/reports.py
+++ b/eelgrasswick/cookie/reports.py
@@ -1,37 +1,38 @@
-"""What the entry VMs tell each other of the targets.
+"""Reports that entry VMs send each other about targets.
 
-Load pattern: a VM sees a part of the flows, on grown fleets a sixtieth. By its
-own part alone a target looks idle that others have filled, a zone looks
-empty to all VMs of the other zones, and each VM has to lose callers to a
-silent target before it passes it over. So each tells the others how many flows
-it has on each target, how fast the target answers it, and whether it is silent.
+Load pattern: a VM handles only a share of the flows, a sixtieth on large fleets.
+From its own share alone, a target filled by other VMs looks idle, a zone looks empty
+to all VMs of other zones, and each VM has to lose callers to a silent target before
+it avoids that target. Each VM therefore reports to the others how many flows it has
+on each target, how fast the target answers, and whether the target is silent.
 
-Reports are some seconds old; flows of the kinds that fill targets last longer.
-A VM's own flows count at once, so that it does not send all of them to the
-target that looked empty when the others last spoke.
+Reports are a few seconds old, but flows of the kinds that fill targets last longer.
+A VM counts its own flows immediately, so that it does not send all of them to the
+target that looked empty in the latest reports.
 """
 
 import collections
 import typing
 
+# A report older than this is discarded.
 RETENTION_MS: typing.Final = 10_000
-# In a large fleet a VM holds recent reports of a part of the others only, which is
-# taken for a sample of all. Fewer than these are none.
+# In a large fleet a VM holds recent reports of only some other VMs, and extrapolates
+# from them to all. It does not extrapolate from fewer reports than this.
 MIN_SAMPLE_VMS: typing.Final = 16
-# News of silence is acted on only while it is new.
+# A report of a silent target counts only for this long.
 SILENCE_VALID_MS: typing.Final = 1500
-# Bounds a report at about 600 bytes, half of a datagram.
+# This limit keeps a report at about 600 bytes, half of a datagram.
 MAX_ENTRIES: typing.Final = 60
 
 
 class TargetReport(typing.NamedTuple):
-    """What one VM knows of one target.
+    """One VM's report about one target.
 
     Attributes:
-        cookie: The target.
-        flows: Flows that pass this VM to it.
-        answer_ms: Smoothed time of its answers; 0 when too few were seen.
-        silent: True when it left packets unanswered lately.
+        cookie: The target's cookie.
+        flows: Number of flows that this VM forwards to the target.
+        answer_ms: Smoothed answer time of the target; 0 with too few samples.
+        silent: True when the target recently left packets unanswered.
     """
 
     cookie: int
@@ -44,26 +45,27 @@
 
 
 class Reports:
-    """The last report of each other VM.
+    """Registry of the latest report of each other VM.
 
     Attributes:
-        others: How many other VMs there are.
+        others: Number of other live VMs.
     """
 
     def __init__(self) -> None:
-        """Begin without reports."""
+        """Create an empty registry."""
         self.others = 0
         self._scale = 1.0
         self._reports: dict[str, tuple[Report, int]] = {}
-        # Kept up with each report; summing hundreds anew takes the time of packets.
+        # These sums are updated with each report, because summing hundreds of
+        # reports for each packet would delay the packets.
         self._flows: collections.Counter[int] = collections.Counter()
-        # Answer times by target and VM.
+        # Answer times in ms by target cookie and VM.
         self._answers_ms: dict[int, dict[str, int]] = {}
-        # When each VM last found a target silent, by target and VM.
+        # Time of the latest report that a target is silent, by cookie and VM.
         self._silent_ms: dict[int, dict[str, int]] = {}
 
     def record(self, now_ms: int, host: str, report: Report) -> None:
-        """Take a VM's report in place of its last one."""
+        """Replace the previous report of a VM by a new one."""
         self.forget(host)
         self._reports[host] = (report, now_ms)
         for entry in report:
@@ -74,7 +76,7 @@
                 self._silent_ms.setdefault(entry.cookie, {})[host] = now_ms
 
     def forget(self, host: str) -> None:
-        """Drop the report of a VM that is gone; its flows pass others now."""
+        """Remove the report of a dead VM, whose flows now pass through other VMs."""
         report, _ = self._reports.pop(host, ((), 0))
         for entry in report:
             self._flows[entry.cookie] -= entry.flows
@@ -85,7 +87,7 @@
                 _discard(self._silent_ms, entry.cookie, host)
 
     def tick(self, now_ms: int) -> None:
-        """Drop what is old."""
+        """Remove expired reports, and update the extrapolation factor."""
         old = [
             h
             for h, (_, at_ms) in self._reports.items()
@@ -97,22 +99,22 @@
         self._scale = max(1.0, self.others / held) if held >= MIN_SAMPLE_VMS else 1.0
 
     def __len__(self) -> int:
-        """Return of how many VMs a recent report is held."""
+        """Return the number of VMs with a recent report."""
         return len(self._reports)
 
     def flows_on(self, cookie: int) -> int:
-        """Return about how many flows the other VMs have on a target."""
+        """Estimate how many flows the other VMs have on a target."""
         return round(self._scale * self._flows.get(cookie, 0))
 
     def answers_ms(self, cookie: int) -> typing.Sequence[int]:
-        """Return the answer times that other VMs see of a target."""
+        """Return the answer times in ms that other VMs report for a target."""
         return list(self._answers_ms.get(cookie, {}).values())
 
     def count_silent_reports(self, now_ms: int, cookie: int) -> int:
-        """Return how many other VMs lately found a target silent.
+        """Return how many other VMs recently reported a target as silent.
 
-        It is asked for each target at each opening packet; a search of all reports
-        would hold up the packets behind.
+        The method runs for each target at each opening packet. A search of all
+        reports would delay the packets that follow.
         """
         found = self._silent_ms.get(cookie)
         if found is None:
@@ -120,8 +122,8 @@
         return sum(now_ms - at_ms <= SILENCE_VALID_MS for at_ms in found.values())
 
 
-def _discard(book: dict[int, dict[str, int]], cookie: int, host: str) -> None:
-    found = book.get(cookie, {})
+def _discard(by_cookie: dict[int, dict[str, int]], cookie: int, host: str) -> None:
+    found = by_cookie.get(cookie, {})
     found.pop(host, None)
     if not found:
-        book.pop(cookie, None)
+        by_cookie.pop(cookie, None)
--- a/eelgrasswick/cookie/transfer.py
+++ b/eelgrasswick/cookie/transfer.py
@@ -1,4 +1,4 @@
-"""What does not fit a datagram, over a connection between two VMs."""
+"""Transfer, over a TCP connection between two VMs, of rows too large for a datagram."""
 
 import typing
 
@@ -8,8 +8,8 @@
 from eelgrasswick import errors
 from eelgrasswick.cookie import model, offer
 
-# A configuration of 640 routes is about 110 KB and goes at a tenth of that; the
-# thinnest link takes 5 Mbit/s.
+# A configuration of 640 routes takes about 110 KB, and a tenth of that compressed.
+# The slowest link carries 5 Mbit/s.
 TIMEOUT_MS: typing.Final = 1000
 
 
@@ -33,16 +33,16 @@
 
 
 class ServerFactory(protocol.Factory):
-    """Answers other VMs with what they lack."""
+    """Serves other VMs the rows that they lack."""
 
     noisy = False
 
     def __init__(self, offers: offer.OfferEncoder) -> None:
-        """Answer with offers."""
+        """Serve the offers of an encoder."""
         self._offers = offers
 
     def buildProtocol(self, addr: object) -> _Server:  # noqa: N802
-        """Return the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return _Server(self._offers)
 
 
@@ -76,11 +76,11 @@
 async def fetch(
     reactor: typing.Any, address: model.Address, revision: int
 ) -> offer.Offer:
-    """Ask a VM for what changed after a revision.
+    """Request from a VM the rows that changed after a revision.
 
     Raises:
-        errors.MessageInvalidError: It sent something else.
-        errors.VmSilentError: It did not answer in time.
+        errors.MessageInvalidError: The VM sent an invalid response.
+        errors.VmSilentError: The VM did not respond in time.
     """
     client = _Client(revision)
     end = endpoints.TCP4ClientEndpoint(
