--- a/eelgrasswick/cookie/bootstrap.py
+++ b/eelgrasswick/cookie/bootstrap.py
@@ -1,8 +1,9 @@
-"""How a VM that starts gets its first rows from another one.
+"""Bootstrap of a starting VM: it fetches its first rows from another VM.
 
-Answers the load of VMs that are added or restarted by the dozen while the rest of
-the fleet serves. It needs no event loop, as the libraries are not imported yet. VMs
-that start after a loss of all find nobody listening, and must not wait for long.
+Load pattern: dozens of VMs are added or restarted while the rest of the fleet serves.
+The code needs no event loop, because the libraries are not imported yet at this
+point. VMs that start after a loss of the whole fleet find no other VM listening,
+and must not wait for long.
 """
 
 import contextlib
@@ -19,11 +20,11 @@
 if typing.TYPE_CHECKING:
     from eelgrasswick.cookie import offer
 
-# What other VMs may take to accept a connection. After a loss of power of all it is
-# lost, as VMs that are still dark do not even refuse.
+# Time for other VMs to accept a connection. After all VMs lost power, a starting VM
+# waits for this time in vain, because VMs without power do not even refuse.
 CONNECT_TIMEOUT_S: typing.Final = 0.005
 RESPONSE_TIMEOUT_S: typing.Final = 0.1
-# VMs that are asked for rows, one after the other.
+# At most this many VMs receive a request for rows, one after the other.
 MAX_REQUESTS: typing.Final = 2
 _LENGTH: typing.Final = struct.Struct(">I")
 _ALL_ROWS: typing.Final = b"0"
@@ -31,12 +32,12 @@
 
 
 class Response(typing.NamedTuple):
-    """Another VM's answer.
+    """The response of another VM.
 
     Attributes:
-        host: Who answered.
-        asked_ms: When it was asked.
-        offer: Its rows, their age, and the VMs that it knows.
+        host: Address of the VM that responded.
+        requested_ms: When the request was sent.
+        offer: Its rows, their age, and the members that it lists.
     """
 
     host: str
@@ -47,38 +48,39 @@
 def fetch_rows(
     seeds: typing.Sequence[model.Address], log: event_log.EventLog
 ) -> Response | None:
-    """Ask some VMs for all rows, until one has some.
+    """Request all rows from some VMs, until one response has rows.
 
     Args:
-        seeds: Whom to ask, at the addresses where they answer.
-        log: Told of those that give no answer.
+        seeds: Addresses at which the VMs serve their rows.
+        log: Receives a line for each VM that does not respond.
 
     Returns:
-        The first answer with rows; None without one.
+        The first response with rows; None without one.
     """
     with contextlib.ExitStack() as held:
-        connected = _connect(_in_turn(seeds), held, log)
+        connected = _connect(_rotate(seeds), held, log)
         for address, connection in connected[:MAX_REQUESTS]:
-            asked_ms = clock.now_ms()
+            requested_ms = clock.now_ms()
             try:
-                taken = _ask(connection)
+                received = _request_rows(connection)
             except (errors.MessageInvalidError, OSError) as fault:
-                _note_failed(log, address, fault)
+                _log_failure(log, address, fault)
                 continue
-            if taken.changes.rows:
-                return Response(address.host, asked_ms, taken)
+            if received.changes.rows:
+                return Response(address.host, requested_ms, received)
     return None
 
 
-def _note_failed(
+def _log_failure(
     log: event_log.EventLog, address: model.Address, fault: Exception
 ) -> None:
     detail = f"{type(fault).__name__}: {fault}"
     log.write("bootstrap_failed", peer=address.host, detail=detail)
 
 
-def _in_turn(seeds: typing.Sequence[model.Address]) -> list[model.Address]:
-    # All VMs have the same seeds; those that start together begin with different ones.
+def _rotate(seeds: typing.Sequence[model.Address]) -> list[model.Address]:
+    # All VMs have the same seeds. The rotation spreads the requests of VMs that start
+    # together over different seeds.
     if not seeds:
         return []
     first = time.monotonic_ns() // 1000 % len(seeds)
@@ -90,7 +92,7 @@
     held: contextlib.ExitStack,
     log: event_log.EventLog,
 ) -> list[tuple[model.Address, socket.socket]]:
-    """Return connections to those that accept one in time, in the order given."""
+    """Return the connections that are accepted in time, in the order of addresses."""
     poll = select.poll()
     waiting: dict[int, tuple[model.Address, socket.socket]] = {}
     for address in addresses:
@@ -107,20 +109,20 @@
             address, made = waiting.pop(descriptor)
             fault = made.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if fault:
-                _note_failed(log, address, OSError(fault, "connect"))
+                _log_failure(log, address, OSError(fault, "connect"))
             else:
                 accepted[address] = made
     for address, _ in waiting.values():
-        _note_failed(log, address, TimeoutError("connect"))
+        _log_failure(log, address, TimeoutError("connect"))
     return [(item, accepted[item]) for item in addresses if item in accepted]
 
 
-def _ask(connection: socket.socket) -> "offer.Offer":
+def _request_rows(connection: socket.socket) -> "offer.Offer":
     connection.setblocking(True)
     connection.settimeout(RESPONSE_TIMEOUT_S)
     connection.sendall(_LENGTH.pack(len(_ALL_ROWS)) + _ALL_ROWS)
-    # Imported only once another VM is there to answer; after a loss of all the store
-    # is read sooner without.
+    # The module is imported only once another VM has accepted a connection. After a
+    # loss of the whole fleet the VM saves the import and reads the store sooner.
     reader: typing.Any = importlib.import_module("eelgrasswick.cookie.offer")
     end_s = time.monotonic() + RESPONSE_TIMEOUT_S
     strings = _receive(connection, end_s, reader.STRING_COUNT, reader.MAX_BYTES)
@@ -137,19 +139,19 @@
         connection.settimeout(max(0.001, end_s - time.monotonic()))
         chunk = connection.recv(_CHUNK_BYTES)
         if not chunk:
-            raise errors.MessageInvalidError("the connection ended early")
+            raise errors.MessageInvalidError("connection closed before the offer ended")
         data += chunk
         strings += _strings(data, max_bytes)
     return strings
 
 
 def _strings(data: bytearray, max_bytes: int) -> list[bytes]:
-    """Take the whole strings from the front of what was received."""
+    """Remove the complete strings from the front of the buffer and return them."""
     found: list[bytes] = []
     while len(data) >= _LENGTH.size:
         (length,) = _LENGTH.unpack_from(data)
         if length > max_bytes:
-            raise errors.MessageInvalidError(f"a string of {length} bytes")
+            raise errors.MessageInvalidError(f"string of {length} bytes is too long")
         end = _LENGTH.size + length
         if len(data) < end:
             break
--- a/eelgrasswick/cookie/offer.py
+++ b/eelgrasswick/cookie/offer.py
@@ -1,7 +1,8 @@
-"""What a VM tells one that lacks rows: the rows, their age, and who is in the fleet.
+"""The offer that a VM sends to one that lacks rows: rows, age and fleet members.
 
-It goes over a connection as two strings, so that the rows, which many VMs that start
-at once ask for, are encoded once for all of them.
+An offer goes over a connection as two strings. The rows have a string of their own,
+so that they are encoded only once for the many VMs that request them when a fleet
+starts.
 """
 
 import typing
@@ -13,19 +14,19 @@
 from eelgrasswick.cookie import exchange, knowledge, peers, source
 
 MAX_BYTES: typing.Final = 8_000_000
-# A VM's standing and its rows.
+# An offer consists of the encoded sender state and the encoded rows.
 STRING_COUNT: typing.Final = 2
-# Members that are taken from one message; more than any fleet has.
+# Further members of a message are ignored; no fleet has this many.
 MAX_MEMBERS: typing.Final = 10_000
-_LEVEL: typing.Final = 3
+_COMPRESSION_LEVEL: typing.Final = 3
 
 
 class SenderState(typing.NamedTuple):
-    """What a VM tells of itself and the others.
+    """The age of the sender's rows, and the members that it lists.
 
     Attributes:
-        age_ms: Age of what it knows of the store.
-        members: The VMs that it takes for alive.
+        age_ms: Time since the sender's rows were last confirmed complete.
+        members: The VMs that the sender treats as alive.
     """
 
     age_ms: int
@@ -33,57 +34,59 @@
 
 
 class Offer(typing.NamedTuple):
-    """A VM's standing and its rows."""
+    """The state and the rows of the sending VM."""
 
     sender_state: SenderState
     changes: source.Changes
 
     def merge_into(
-        self, now_ms: int, asked_ms: int, known: knowledge.Knowledge
+        self, now_ms: int, requested_ms: int, replica: knowledge.Knowledge
     ) -> knowledge.Merge:
-        """Merge the rows into what a VM knows.
+        """Merge the offered rows into a VM's copy of the store, and confirm it.
 
         Args:
             now_ms: Present time.
-            asked_ms: When the VM asked for them; their age counts from then.
-            known: What it knows.
+            requested_ms: When the VM requested the offer; the age counts from then.
+            replica: The VM's copy of the store's rows.
         """
-        merge = known.merge(now_ms, self.changes)
-        known.confirm(self.changes.revision, asked_ms - self.sender_state.age_ms)
+        merge = replica.merge(now_ms, self.changes)
+        replica.confirm(self.changes.revision, requested_ms - self.sender_state.age_ms)
         return merge
 
 
 class OfferEncoder:
-    """The offers of a VM, encoded."""
+    """Encodes the offers of a VM, and caches the encoded full listing."""
 
     def __init__(
         self,
-        since: typing.Callable[[int], source.Changes],
-        standing: typing.Callable[[], SenderState],
+        changes_since: typing.Callable[[int], source.Changes],
+        sender_state: typing.Callable[[], SenderState],
     ) -> None:
-        """Offer what a VM knows.
+        """Create an encoder for a VM's rows.
 
         Args:
-            since: Returns what changed after a revision.
-            standing: Returns how the VM stands now.
+            changes_since: Returns the changes after a revision.
+            sender_state: Returns the current age and members of the VM.
         """
-        self._since = since
-        self._standing = standing
+        self._changes_since = changes_since
+        self._sender_state = sender_state
         self._full_revision = 0
         self._full = b""
 
     def encode(self, revision: int) -> tuple[bytes, bytes]:
-        """Return the strings for a VM that knows all up to a revision.
+        """Encode an offer for a VM that has all changes up to a revision.
 
-        Only one that starts, at revision 0, is told of the members; a change of the
-        configuration is fetched by every VM.
+        Only a VM that starts, at revision 0, receives the members. Every VM fetches
+        each change of the configuration, and the members would multiply that traffic.
         """
-        standing = self._standing()
+        sender_state = self._sender_state()
         if revision:
-            standing = standing._replace(members=())
-        return _encode_standing(standing), self._rows(self._since(revision))
+            sender_state = sender_state._replace(members=())
+        return _encode_sender_state(sender_state), self._encode_rows(
+            self._changes_since(revision)
+        )
 
-    def _rows(self, changes: source.Changes) -> bytes:
+    def _encode_rows(self, changes: source.Changes) -> bytes:
         if changes.base:
             return _deflate(changes)
         if changes.revision != self._full_revision:
@@ -92,30 +95,32 @@
         return self._full
 
 
-def decode(standing: bytes, rows: bytes) -> Offer:
-    """Read an offer's strings.
+def decode(sender_state: bytes, rows: bytes) -> Offer:
+    """Decode the two strings of an offer.
 
     Raises:
-        errors.MessageInvalidError: They are something else.
+        errors.MessageInvalidError: The strings are not a valid offer.
     """
-    return Offer(_decode_standing(standing), exchange.decode_changes(_inflate(rows)))
+    return Offer(
+        _decode_sender_state(sender_state), exchange.decode_changes(_inflate(rows))
+    )
 
 
-def _encode_standing(item: SenderState) -> bytes:
+def _encode_sender_state(item: SenderState) -> bytes:
     return cbor2.dumps([item.age_ms, [list(member) for member in item.members]])
 
 
-def _decode_standing(payload: bytes) -> SenderState:
+def _decode_sender_state(payload: bytes) -> SenderState:
     try:
         age_ms, members = cbor2.loads(payload)
-        known = tuple(map(exchange.decode_member, members[:MAX_MEMBERS]))
-        return SenderState(exchange.decode_count(age_ms), known)
+        listed = tuple(map(exchange.decode_member, members[:MAX_MEMBERS]))
+        return SenderState(exchange.decode_count(age_ms), listed)
     except exchange.DECODE_ERRORS as error:
-        raise errors.MessageInvalidError(f"standing: {error}") from error
+        raise errors.MessageInvalidError(f"sender state: {error}") from error
 
 
 def _deflate(changes: source.Changes) -> bytes:
-    return zlib.compress(exchange.encode_changes(changes), _LEVEL)
+    return zlib.compress(exchange.encode_changes(changes), _COMPRESSION_LEVEL)
 
 
 def _inflate(content: bytes) -> bytes:
@@ -125,5 +130,5 @@
     except zlib.error as fault:
         raise errors.MessageInvalidError(f"changes: {fault}") from fault
     if inflater.unconsumed_tail:
-        raise errors.MessageInvalidError("changes are too long")
+        raise errors.MessageInvalidError("changes are too long when decompressed")
     return plain
--- a/eelgrasswick/cookie/source.py
+++ b/eelgrasswick/cookie/source.py
@@ -1,4 +1,4 @@
-"""Where configuration and targets come from: the store as entry VMs read it."""
+"""Interfaces by which entry VMs read configuration and targets from the store."""
 
 import abc
 import typing
@@ -7,12 +7,12 @@
 
 
 class Row(typing.NamedTuple):
-    """One key of the store at its last change.
+    """The last change of one key of the store.
 
     Attributes:
         key: Name of the key.
-        value: Its bytes; None when the key was deleted.
-        revision: The store's revision of that change.
+        value: Value in bytes; None when the key was deleted.
+        revision: The store's revision of the change.
     """
 
     key: str
@@ -21,14 +21,14 @@
 
 
 class Changes(typing.NamedTuple):
-    """Rows of the store, and how far they go.
+    """Rows of the store, and the range of revisions that they cover.
 
     Attributes:
-        rows: The rows that changed, or all of them.
-        revision: All changes up to this revision are among the rows or are
-            older than what was asked for.
-        base: 0 when ``rows`` is all there is; else the rows hold every change
-            after this revision.
+        rows: The rows that changed, or all rows.
+        revision: The rows include every change up to this revision, except those
+            up to ``base``.
+        base: 0 when ``rows`` is a full listing; otherwise the rows include every
+            change after this revision.
     """
 
     rows: tuple[Row, ...]
@@ -37,10 +37,11 @@
 
 
 class ChangeSource(abc.ABC):
-    """The store, read only.
+    """Read-only access to the store.
 
-    Every method raises ``errors.StoreError`` when the store gives no answer or
-    refuses, and ``errors.HistoryGoneError`` when it has forgotten the changes.
+    Every method raises ``errors.StoreError`` when the store does not answer or
+    refuses the call, and ``errors.HistoryGoneError`` when the store no longer has
+    the history of changes that the call needs.
     """
 
     @abc.abstractmethod
@@ -49,43 +50,44 @@
 
     @abc.abstractmethod
     async def changes(self, after: int, wait_ms: int) -> Changes:
-        """Return what changed after a revision.
+        """Return the rows that changed after a revision.
 
         Args:
-            after: The revision up to which the caller knows everything.
+            after: The revision up to which this VM has all changes.
             wait_ms: How long the store waits for a change before it answers
                 with none.
         """
 
 
 class Reader(abc.ABC):
-    """Turns rows into configuration, evacuations and targets."""
+    """Decodes rows into configuration, evacuations and targets."""
 
     @abc.abstractmethod
     def is_config(self, key: str) -> bool:
-        """Tell whether a key holds the configuration."""
+        """Return True if a key holds the configuration."""
 
     @abc.abstractmethod
     def is_target(self, key: str) -> bool:
-        """Tell whether a key holds a target."""
+        """Return True if a key holds a target."""
 
     @abc.abstractmethod
     def is_evacuation(self, key: str) -> bool:
-        """Tell whether a key orders an evacuation."""
+        """Return True if a key orders an evacuation."""
 
     @abc.abstractmethod
     def config(self, row: Row) -> model.Config:
-        """Return the configuration that a row holds.
+        """Decode the configuration in a row.
 
         Raises:
-            errors.EntryInvalidError: The row holds something else.
+            errors.EntryInvalidError: The row is not a valid configuration.
         """
 
     @abc.abstractmethod
     def evacuation(self, row: Row) -> model.Evacuation:
-        """Return the evacuation that a row orders.
+        """Decode the evacuation that a row orders.
 
-        The key alone orders it. A value that can't be read is noted in the result.
+        The key alone orders the evacuation. A malformed value is recorded in the
+        result.
 
         Raises:
             errors.EntryInvalidError: The key names no zone.
@@ -93,8 +95,8 @@
 
     @abc.abstractmethod
     def target(self, row: Row) -> model.Target:
-        """Return the target that a row holds.
+        """Decode the target in a row.
 
         Raises:
-            errors.EntryInvalidError: The row holds something else.
+            errors.EntryInvalidError: The row is not a valid target.
         """
