--- a/eelgrasswick/cookie/catalog.py
+++ b/eelgrasswick/cookie/catalog.py
@@ -1,4 +1,4 @@
-"""What is in force: routes, evacuations and targets, by the keys for steering."""
+"""The catalog: routes, evacuations and targets in force, indexed for steering."""
 
 import collections
 import typing
@@ -13,31 +13,32 @@
     source,
 )
 
-# How long an entry that is gone after an outage of the store may still be
-# used. Entries lapse while targets can't renew them and are back within two
-# seconds; dropped at once, a whole service would be refused meanwhile.
+# An entry that is missing after an outage of the store stays usable for this long.
+# Entries lapse while targets can't renew them, and are back within two seconds. If
+# the VM dropped them at once, it would refuse a whole service until then.
 LAPSED_ENTRY_GRACE_MS: typing.Final = 2000
-# Age of knowledge from which a deletion may be due to an outage. Without one a
-# VM's knowledge is at most two seconds old.
+# When a VM's rows were older than this, a deletion may be due to an outage of the
+# store. Without an outage the rows are at most two seconds old.
 OUTAGE_AGE_MS: typing.Final = 2500
-# From this age on, entries that go together are due to an outage too: half of a
-# service's or more. Entries last for three heartbeats, and two that are missed in a
-# row make a lapse; targets that crash are seldom noticed in one answer of the store.
+# When a VM's rows were older than this, deletions of MASS_LAPSE_SHARE or more of a
+# service's entries in one merge are attributed to an outage too. An entry lasts for
+# three heartbeats and lapses when two in a row are missed, whereas several crashed
+# targets rarely disappear in a single answer of the store.
 SHORT_OUTAGE_AGE_MS: typing.Final = 1200
 MASS_LAPSE_SHARE: typing.Final = 0.5
-# Confirmations that are further apart than this have an outage between them. A
-# watch is answered each second, and its answer takes up to 0.8 s to reach all VMs.
+# Confirmations that are further apart than this indicate an outage between them. A
+# watch is answered each second, and the answer takes up to 0.8 s to reach all VMs.
 MAX_CONFIRMATION_GAP_MS: typing.Final = 1800
-# A flow may live for 60 s. So long a target that is gone is remembered, as its
-# entry may lapse while it goes on serving.
+# The VM keeps forwarding to a target for this long after its entry disappeared. A
+# flow may live for 60 s, and an entry may lapse while its target continues to serve.
 FORMER_TARGET_RETENTION_MS: typing.Final = 60_000
-# Dropped routes that are remembered; the design size has 8,100 addresses and
-# 13,000 changes a day, and flows of a dropped route live for a minute.
+# The VM records at most this many dropped routes. The design size has 8,100 addresses
+# and 13,000 changes a day, and flows of a dropped route live for a minute.
 MAX_DROPPED_ROUTES: typing.Final = 1000
 
 
 class LogEvent(typing.NamedTuple):
-    """Something a VM now believes, for the log."""
+    """A change of the catalog, as an event and its fields for the log."""
 
     event: str
     fields: dict[str, str | int]
@@ -49,17 +50,18 @@
 
 
 class Catalog:
-    """Configuration and targets, kept up from the rows that change.
+    """Configuration, evacuations and targets, updated from changed rows.
 
     Attributes:
-        config: What operators have put in force; None before the first.
+        config: The configuration in force; None before the first one.
         evacuations: Zones whose targets take no new flows.
-        ages: When targets started.
-        on_ended: Told of each target that is over for certain.
+        ages: Records when targets started.
+        on_ended: Called with each target that has certainly ended because another
+            one took over its address.
     """
 
     def __init__(self, reader: source.Reader) -> None:
-        """Read rows with the adapter's reader."""
+        """Create an empty catalog that decodes rows with the platform's reader."""
         self._reader = reader
         self.config: model.Config | None = None
         self.evacuations = evacuation.Evacuations()
@@ -68,60 +70,63 @@
         self._by_name: dict[str, model.Target] = {}
         self._by_cookie: dict[int, model.Target] = {}
         self._by_service: dict[str, list[model.Target]] = {}
-        # Those that would accept flows, were their zone not evacuated.
+        # Targets that get no new flows only because their zone is evacuated.
         self._withheld: dict[str, list[model.Target]] = {}
         self._gone_ms: collections.OrderedDict[int, int] = collections.OrderedDict()
         self._lapsed: dict[str, _Lapsed] = {}
         self._services: frozenset[str] = frozenset()
         self._owners = owners.Owners()
         self._confirmed_ms = knowledge.NEVER_MS
-        self._unsettled_ms = 0
-        # A dict for its order: the oldest is forgotten first.
-        self._dropped: dict[tuple[bytes, int], None] = {}
+        self._settle_left_ms = 0
+        # A dict keeps insertion order, so that the oldest route is evicted first.
+        self._dropped_routes: dict[tuple[bytes, int], None] = {}
         self._seen_ms: dict[int, int] = {}
 
     @property
     def ready(self) -> bool:
-        """True when there are routes and targets to steer by."""
+        """True when a configuration is in force and a target is present."""
         return self.config is not None and bool(self._by_name)
 
     @property
     def settled(self) -> bool:
-        """False while servers may not be back in the store after an outage."""
-        return self._unsettled_ms <= 0
+        """False while entries may still be missing after an outage of the store."""
+        return self._settle_left_ms <= 0
 
     @property
     def targets(self) -> typing.Collection[model.Target]:
-        """All targets in the store."""
+        """All targets with an entry in the store."""
         return self._by_name.values()
 
     @property
     def forwardable_cookies(self) -> typing.Collection[int]:
-        """Cookies of all targets that packets are still sent to."""
+        """Cookies of all targets to which packets are still forwarded."""
         return self._by_cookie.keys()
 
     def missing(self, target: model.Target, now_ms: int) -> bool:
-        """Tell whether an entry has been gone for longer than an outage explains."""
+        """Return True if an entry is missing for longer than an outage explains."""
         at_ms = self._gone_ms.get(target.cookie)
         return at_ms is not None and now_ms - at_ms >= LAPSED_ENTRY_GRACE_MS
 
     def route(self, segment: model.Segment) -> model.Route | None:
-        """Return the route a segment is for, if there is one."""
+        """Return the route for a segment's service address, or None."""
         if self.config is None:
             return None
         flow = segment.flow
         return self.config.routes.get((flow.service_ip, flow.service_port))
 
     def route_dropped(self, segment: model.Segment) -> bool:
-        """Tell whether the route of a segment was dropped while this VM looked."""
-        return (segment.flow.service_ip, segment.flow.service_port) in self._dropped
+        """Return True if this VM saw the route of a segment being dropped."""
+        return (
+            segment.flow.service_ip,
+            segment.flow.service_port,
+        ) in self._dropped_routes
 
     def by_cookie(self, cookie: int) -> model.Target | None:
-        """Return the target that a cookie names, also one that left lately."""
+        """Return the target of a cookie, including one that left recently."""
         return self._by_cookie.get(cookie)
 
     def ended(self, cookie: int) -> bool:
-        """Tell whether the target that a cookie names is over for certain."""
+        """Return True if the target of a cookie has certainly ended."""
         return self._owners.ended(cookie)
 
     def accepting(self, service: str) -> list[model.Target]:
@@ -129,11 +134,11 @@
         return self._by_service.get(service, [])
 
     def withheld(self, service: str) -> list[model.Target]:
-        """Return the targets that get no new flows for an evacuation alone."""
+        """Return a service's targets that an evacuation alone keeps from new flows."""
         return self._withheld.get(service, [])
 
     def cold_ms(self, target: model.Target, now_ms: int) -> int:
-        """Return how much longer a target is expected to be slow."""
+        """Return for how many more ms a target is expected to be cold and slow."""
         left_ms = 0
         if target.cold_ms:
             seen_ms = self._seen_ms.get(target.cookie, now_ms)
@@ -146,51 +151,53 @@
         return max(0, left_ms)
 
     def service(self, name: str) -> model.Service | None:
-        """Return what operators say of a service, if it is in force."""
+        """Return the configuration of a service, or None."""
         return self.config.services.get(name) if self.config is not None else None
 
     def update(self, now_ms: int, merge: knowledge.Merge) -> list[LogEvent]:
-        """Follow rows that changed.
+        """Apply the rows that a merge changed.
 
         Returns:
-            What this VM believes from now on, one note for each change.
+            The resulting log events, one for each relevant row.
         """
         outage = merge.previous_age_ms > OUTAGE_AGE_MS or self._lapsed_together(merge)
         if outage:
-            self._unsettled_ms = LAPSED_ENTRY_GRACE_MS
-        # Entries that come back after an outage are mostly those of old targets.
+            self._settle_left_ms = LAPSED_ENTRY_GRACE_MS
+        # Entries that return after an outage mostly belong to targets that started
+        # earlier, so their arrival does not show when the target started.
         watched = bool(self._by_name) and self.settled
-        notes = []
-        over: list[model.Target] = []
-        # The configuration first: it says whose entries count.
+        events = []
+        ended: list[model.Target] = []
+        # The configuration is applied first, because it determines the services
+        # whose entries can end other targets.
         for row in sorted(merge.rows, key=lambda row: self._reader.is_target(row.key)):
             if self._reader.is_config(row.key):
-                notes.append(self._take_config(row))
+                events.append(self._update_config(row))
             elif self._reader.is_evacuation(row.key):
-                notes.append(self._take_evacuation(now_ms, row))
+                events.append(self._update_evacuation(now_ms, row))
             elif self._reader.is_target(row.key):
-                notes.append(self._take_target(now_ms, row, outage))
-                self._note_age(now_ms, row, watched)
-                over += self._ended_by(row)
+                events.append(self._update_target(now_ms, row, outage))
+                self._update_age(now_ms, row, watched)
+                ended += self._former_targets(row)
         self._rebuild()
-        for target in over:
+        for target in ended:
             self.on_ended(target)
-        return notes
+        return events
 
     def tick(self, now_ms: int, confirmed_ms: int) -> None:
-        """Forget targets that are gone for long enough.
+        """Remove targets whose entries have been missing for long enough.
 
         Args:
             now_ms: Present time.
-            confirmed_ms: Up to when the store is known to have been there. While
-                it is away again, servers can't bring their entries back, and
-                that time does not count.
+            confirmed_ms: Time up to which the store is confirmed as available.
+                While the store is away again, targets can't restore their entries,
+                so that time does not count.
         """
         elapsed_ms = confirmed_ms - self._confirmed_ms
         self._confirmed_ms = confirmed_ms
         if elapsed_ms > MAX_CONFIRMATION_GAP_MS:
             elapsed_ms = 0
-        self._unsettled_ms = max(0, self._unsettled_ms - elapsed_ms)
+        self._settle_left_ms = max(0, self._settle_left_ms - elapsed_ms)
         lapsed = []
         for name, item in self._lapsed.items():
             self._lapsed[name] = item._replace(left_ms=item.left_ms - elapsed_ms)
@@ -211,15 +218,16 @@
         if lapsed:
             self._rebuild()
 
-    def _take_config(self, row: source.Row) -> LogEvent:
+    def _update_config(self, row: source.Row) -> LogEvent:
         if row.value is None:
             return LogEvent("config_deleted", {"revision": row.revision})
         try:
             config = self._reader.config(row)
         except errors.EntryInvalidError as error:
-            # The last good configuration stays; without one nothing is served.
+            # The last valid configuration stays in force, because without one the
+            # VM serves nothing.
             return _refused(row, error)
-        self._note_dropped(config)
+        self._record_dropped_routes(config)
         self.config = config
         routes = config.routes.values()
         self._services = frozenset(s.service for item in routes for s in item.shares)
@@ -232,16 +240,17 @@
             },
         )
 
-    def _note_age(self, now_ms: int, row: source.Row, watched: bool) -> None:
+    def _update_age(self, now_ms: int, row: source.Row, watched: bool) -> None:
         target = self._by_name.get(row.key)
         if target is not None:
             self.ages.seen(now_ms, target, watched)
 
-    def _take_evacuation(self, now_ms: int, row: source.Row) -> LogEvent:
+    def _update_evacuation(self, now_ms: int, row: source.Row) -> LogEvent:
         if row.value is None:
-            over = self.evacuations.end(row.key)
-            zone = over.zone if over is not None else "-"
-            # They may have been started anew meanwhile, and their entries are late.
+            former = self.evacuations.end(row.key)
+            zone = former.zone if former is not None else "-"
+            # Targets may have restarted during the evacuation, and their new entries
+            # may not have arrived yet.
             for target in self.targets:
                 if target.zone == zone:
                     self.ages.started(now_ms, target.cookie)
@@ -260,17 +269,17 @@
             fields["malformed"] = item.malformed
         return LogEvent("evacuation_in_force", fields)
 
-    def _note_dropped(self, config: model.Config) -> None:
+    def _record_dropped_routes(self, config: model.Config) -> None:
         if self.config is None:
             return
         for key in self.config.routes.keys() - config.routes.keys():
-            self._dropped[key] = None
-        for key in [key for key in self._dropped if key in config.routes]:
-            del self._dropped[key]
-        while len(self._dropped) > MAX_DROPPED_ROUTES:
-            del self._dropped[next(iter(self._dropped))]
+            self._dropped_routes[key] = None
+        for key in [key for key in self._dropped_routes if key in config.routes]:
+            del self._dropped_routes[key]
+        while len(self._dropped_routes) > MAX_DROPPED_ROUTES:
+            del self._dropped_routes[next(iter(self._dropped_routes))]
 
-    def _take_target(self, now_ms: int, row: source.Row, outage: bool) -> LogEvent:
+    def _update_target(self, now_ms: int, row: source.Row, outage: bool) -> LogEvent:
         if row.value is None:
             return self._remove(now_ms, row, outage)
         try:
@@ -297,10 +306,10 @@
             },
         )
 
-    def _ended_by(self, row: source.Row) -> list[model.Target]:
+    def _former_targets(self, row: source.Row) -> list[model.Target]:
         target = self._by_name.get(row.key)
-        # A server of a service that no route names is nobody's successor; an
-        # entry like that may be anyone's.
+        # A target whose service has no route does not replace another target,
+        # because any writer could have created such an entry.
         if row.value is None or target is None or target.service not in self._services:
             return []
         return self._owners.told(target, row.revision)
@@ -330,8 +339,9 @@
         return LogEvent("target_gone", fields)
 
     def _rebuild(self) -> None:
-        # Two targets with one cookie would get each other's packets. The elder
-        # keeps the cookie; the other gets no flow, which only costs its slots.
+        # Two targets with the same cookie would receive each other's packets. The
+        # older target keeps the cookie. The other one gets no flows, which only
+        # wastes its slots.
         self._by_service = {}
         self._withheld = {}
         lapsed = [item.target for item in self._lapsed.values()]
@@ -344,13 +354,13 @@
             if target.draining or self.ended(target.cookie):
                 continue
             evacuated = self.evacuations.covers(target)
-            book = self._withheld if evacuated else self._by_service
-            book.setdefault(target.service, []).append(target)
+            by_service = self._withheld if evacuated else self._by_service
+            by_service.setdefault(target.service, []).append(target)
         self._by_cookie.update(owners)
 
 
 def _ignore(_: model.Target) -> None:
-    """Do nothing about a target that is over."""
+    """Do nothing when a target has ended."""
 
 
 def _refused(row: source.Row, error: errors.EelgrasswickError) -> LogEvent:
--- a/eelgrasswick/cookie/store_watch.py
+++ b/eelgrasswick/cookie/store_watch.py
@@ -1,4 +1,4 @@
-"""The task that calls the store when it is this VM's turn."""
+"""The task that watches the store for changes while this VM is responsible for it."""
 
 import random
 import typing
@@ -9,56 +9,61 @@
 from eelgrasswick.cookie import clock, event_log, knowledge, source, watch_policy
 
 MergeCallback = typing.Callable[[int, knowledge.Merge, str], None]
-_ORIGIN: typing.Final = "store"
+_SOURCE_NAME: typing.Final = "store"
 
 
 class StoreWatch:
-    """One call to the store at a time, and what it brings."""
+    """Calls the store, one call at a time, and merges the rows that it returns.
+
+    Attributes:
+        calls: Number of calls so far.
+    """
 
     def __init__(
         self,
         calls: source.ChangeSource,
-        known: knowledge.Knowledge,
-        merged: MergeCallback,
+        replica: knowledge.Knowledge,
+        on_merge: MergeCallback,
         log: event_log.EventLog,
         rng: random.Random,
     ) -> None:
-        """Merge what the store says into some knowledge.
+        """Create a watch that merges the store's rows into a VM's copy.
 
         Args:
             calls: The store.
-            known: What this VM knows.
-            merged: Told of each merge.
-            log: Takes lost and regained lines.
-            rng: Keeps the retries of VMs apart.
+            replica: This VM's copy of the store's rows.
+            on_merge: Called with the time, the merge and its source.
+            log: Receives a line when the store is lost or regained.
+            rng: Source of jitter for the retries.
         """
         self.calls = 0
         self._source = calls
-        self._knowledge = known
-        self._merged = merged
+        self._knowledge = replica
+        self._on_merge = on_merge
         self._log = log
         self._rng = rng
         self._policy = watch_policy.WatchPolicy()
         self._busy = False
-        # A VM may have read all rows before the libraries were imported.
-        self._listing = not known.revision
+        # A VM that already read all rows, before the libraries were imported, needs
+        # no listing.
+        self._needs_listing = not replica.revision
         self._rank = 0
 
     def settle(self, now_ms: int) -> None:
-        """Note that this VM knows its rank from the start."""
+        """Record that this VM's rank is reliable from the start."""
         self._policy.settle(now_ms)
 
     @property
     def store_responds(self) -> bool:
-        """False while the store does not answer this VM."""
+        """False while the store does not respond to this VM."""
         return self._policy.failures < 2
 
     def check(self, now_ms: int, rank: int) -> None:
-        """Call the store if it is this VM's turn.
+        """Call the store if the watch policy says that a call is due.
 
         Args:
             now_ms: Present time.
-            rank: This VM's place among those of its zone.
+            rank: This VM's rank among those of its zone.
         """
         self._rank = rank
         age_ms = self._knowledge.age_ms(now_ms)
@@ -70,44 +75,44 @@
     async def _call(self, now_ms: int) -> None:
         self.calls += 1
         try:
-            await self._listed() if self._listing else await self._watched()
+            await self._read_all() if self._needs_listing else await self._watch()
         except errors.HistoryGoneError as error:
-            self._listing = True
-            self._note("store_history_gone", error)
+            self._needs_listing = True
+            self._log_error("store_history_gone", error)
         except errors.StoreError as error:
-            self._failed(error)
+            self._record_failure(error)
         else:
-            self._answered(now_ms)
+            self._record_success(now_ms)
         finally:
             self._busy = False
 
-    async def _listed(self) -> None:
+    async def _read_all(self) -> None:
         asked_ms = clock.now_ms()
         changes = await self._source.read_all()
-        self._listing = False
-        self._take(changes)
+        self._needs_listing = False
+        self._merge(changes)
         self._knowledge.confirm(changes.revision, asked_ms)
 
-    async def _watched(self) -> None:
+    async def _watch(self) -> None:
         asked_ms = clock.now_ms()
         before = self._knowledge.revision
         changes = await self._source.changes(before, watch_policy.WATCH_TIMEOUT_MS)
         if not changes.rows and changes.revision > before:
-            # The store has gone on without telling what changed. Taken over,
-            # its revision would hide those changes for good.
-            self._listing = True
+            # The store returned a later revision without the changes up to it. If
+            # the VM adopted that revision, it would never receive those changes.
+            self._needs_listing = True
             return
-        self._take(changes)
-        # With nothing to tell, the store has waited all the while.
+        self._merge(changes)
+        # A watch that returns no rows has waited for its whole time-out.
         waited_ms = 0 if changes.rows else watch_policy.WATCH_TIMEOUT_MS
         self._knowledge.confirm(changes.revision, asked_ms + waited_ms)
 
-    def _take(self, changes: source.Changes) -> None:
+    def _merge(self, changes: source.Changes) -> None:
         now_ms = clock.now_ms()
         merge = self._knowledge.merge(now_ms, changes)
-        self._merged(now_ms, merge, _ORIGIN)
+        self._on_merge(now_ms, merge, _SOURCE_NAME)
 
-    def _answered(self, asked_ms: int) -> None:
+    def _record_success(self, asked_ms: int) -> None:
         now_ms = clock.now_ms()
         if self._policy.failures:
             self._log.write(
@@ -118,12 +123,12 @@
             )
         self._policy.record_success(now_ms, self._rank)
 
-    def _failed(self, error: errors.EelgrasswickError) -> None:
+    def _record_failure(self, error: errors.EelgrasswickError) -> None:
         now_ms = clock.now_ms()
         wait_ms = self._policy.record_failure(now_ms, self._rank, self._rng.random())
-        self._note("store_lost", error, retry_ms=wait_ms)
+        self._log_error("store_lost", error, retry_ms=wait_ms)
 
-    def _note(
+    def _log_error(
         self, event: str, error: errors.EelgrasswickError, **fields: object
     ) -> None:
         now_ms = clock.now_ms()
