--- a/eelgrasswick/cookie/clock.py
+++ b/eelgrasswick/cookie/clock.py
@@ -1,12 +1,12 @@
-"""The clock that ages are measured by."""
+"""The monotonic clock for measuring ages."""
 
 import time
 
 
 def now_ms() -> int:
-    """Return milliseconds since some moment, time spent suspended included.
+    """Return milliseconds since boot, including time spent suspended.
 
-    Without it a VM that was suspended for seconds would wake up and take what
-    it knows for fresh.
+    A clock without the suspended time would make a VM that was suspended for
+    seconds treat its outdated rows as current when it resumes.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -1,4 +1,4 @@
-"""The entry VM: its tasks, and the sockets that they own."""
+"""The entry VM: its periodic tasks and its sockets."""
 
 import random
 import socket
@@ -26,25 +26,26 @@
 
 REQUEST_INTERVAL_S: typing.Final = 0.25
 CHECK_INTERVAL_S: typing.Final = 0.1
-# How often a VM that starts looks whether it can carry packets; its first read
-# of the store takes about 5 ms.
+# A starting VM checks this often whether it can forward packets. Its first read of
+# the store takes about 5 ms.
 READY_POLL_INTERVAL_S: typing.Final = 0.005
-# Above what callers and other VMs send; longer ones are cut and then refused.
+# Callers and other VMs send shorter datagrams. A longer one is truncated and then
+# refused.
 DATAGRAM_BYTES: typing.Final = 4096
 METRICS_PATH: typing.Final = "/metrics"
 
 
 class Parts(typing.NamedTuple):
-    """What the composition root gives an entry VM.
+    """The parts of an entry VM that its composition root provides.
 
     Attributes:
-        carrier: Decides about callers' packets.
+        carrier: Decides what happens to callers' packets.
         source: The store.
         ready_path: Path of the readiness probe.
-        waiting: A bound socket that callers' packets wait in until this VM can
-            carry them; None to open one at the start.
-        bound_ms: When that socket was bound; the libraries are imported since.
-        members: The other VMs, if one of them has told of all already.
+        bound_socket: A bound socket that queues callers' packets until this VM can
+            forward them; None to open one at the start.
+        bound_ms: When that socket was bound, before the import of the libraries.
+        members: The other VMs, if another VM already sent a list of them.
     """
 
     carrier: carrying.Carrier
@@ -56,7 +57,7 @@
 
 
 class EntryVm:
-    """Carries packets, and keeps up what it carries them by."""
+    """Forwards packets, and keeps the routes and targets for that current."""
 
     def __init__(
         self,
@@ -65,18 +66,18 @@
         parts: Parts,
         rng: random.Random,
     ) -> None:
-        """Build the tasks; nothing is opened before ``start``.
+        """Create the tasks; ``start`` opens the sockets.
 
         Args:
             reactor: Twisted reactor.
-            loaded: Checked settings.
-            parts: What differs between platforms.
+            loaded: Validated settings.
+            parts: Parts from the composition root, which differ between platforms.
             rng: Source of randomness.
         """
         self._reactor = reactor
         self._settings = loaded
         self._ready_path = parts.ready_path
-        self._waiting = parts.bound_socket
+        self._bound_socket = parts.bound_socket
         self._bound_ms = parts.bound_ms
         self._members = parts.members
         self._carrier = parts.carrier
@@ -88,19 +89,19 @@
         self._forwarder = forwarding.Forwarder(reactor, parts.carrier, self._on_unsent)
         vm = loaded.vm
         self._gossip = gossip.Gossip(
-            reactor, vm.peer, vm.zone, self._told(), rng, self._on_unsent
+            reactor, vm.peer, vm.zone, self._gossip_parts(), rng, self._on_unsent
         )
         self._catalog.on_ended = self._forwarder.abandon
         self._forwarder.on_dead = self._gossip.report_dead_target
         self._store_watch = store_watch.StoreWatch(
             parts.source, self._knowledge, self._gossip.publish_merge, self._log, rng
         )
-        self._stop_ms: int | None = None
+        self._stop_requested_ms: int | None = None
         self._was_ready = False
         self._loops: list[task.LoopingCall] = []
         self._listening: list[typing.Any] = []
 
-    def _told(self) -> gossip.Parts:
+    def _gossip_parts(self) -> gossip.Parts:
         return gossip.Parts(
             self._knowledge,
             self._carrier.learned,
@@ -112,10 +113,11 @@
         )
 
     def start(self) -> None:
-        """Open the sockets and begin."""
+        """Open the sockets and start the periodic tasks."""
         vm = self._settings.vm
         now_ms = clock.now_ms()
-        # Answers to what was forwarded before may lie in the socket.
+        # Unread answers to packets that were forwarded before the start may be in
+        # the socket, so the start counts as a pause.
         self._observations.paused(now_ms)
         twisted_errors.redirect_to_log(self._log, self._stats)
         self._log.write("started", zone=vm.zone, seeds=len(self._settings.fleet.seeds))
@@ -124,11 +126,11 @@
             self._gossip.peers.add_members(now_ms, self._members)
             self._store_watch.settle(now_ms)
         self._listen()
-        self._take_packets()
-        self._repeat(self._check, CHECK_INTERVAL_S)
-        self._repeat(self._ask, REQUEST_INTERVAL_S)
+        self._open_data_port()
+        self._start_loop(self._check, CHECK_INTERVAL_S)
+        self._start_loop(self._tick, REQUEST_INTERVAL_S)
 
-    def _repeat(self, work: typing.Callable[[], None], every_s: float) -> None:
+    def _start_loop(self, work: typing.Callable[[], None], every_s: float) -> None:
         loop = task.LoopingCall(work)
         loop.clock = self._reactor
         loop.start(every_s)
@@ -142,30 +144,30 @@
             await defer.maybeDeferred(port.stopListening)
 
     def flush_log(self) -> None:
-        """Write the lines that wait."""
+        """Write the pending log lines."""
         self._log.flush()
 
     def reload(self, loaded: settings.Settings) -> None:
-        """Take settings that have changed; addresses stay as they were."""
+        """Apply changed settings; the VM's own addresses stay as they were."""
         self._settings = loaded
         self._gossip.peers.add_hosts(clock.now_ms(), loaded.fleet.seeds)
         self._log.write("settings_reloaded", seeds=len(loaded.fleet.seeds))
 
     def refuse_settings(self, error: errors.EelgrasswickError) -> None:
-        """Note settings that can't be used; the present ones stay."""
+        """Log invalid settings; the present settings stay in force."""
         detail = error.detail.replace("\n", "; ")
         self._log.write("settings_refused", kind=error.kind.value, detail=detail)
 
     def stop(self) -> None:
-        """Begin to leave: take no new flows, carry on until they are gone."""
-        if self._stop_ms is None:
-            self._stop_ms = clock.now_ms()
+        """Start to stop: report not ready, and forward packets until traffic ends."""
+        if self._stop_requested_ms is None:
+            self._stop_requested_ms = clock.now_ms()
             self._log.write("stopping", flows=len(self._observations.tracker))
 
     def _listen(self) -> None:
         vm = self._settings.vm
         reactor = self._reactor
-        answers = transfer.ServerFactory(
+        transfers = transfer.ServerFactory(
             offer.OfferEncoder(self._knowledge.changes_since, self._gossip.sender_state)
         )
         probe = web.WebFactory({self._ready_path: self._ready_page})
@@ -174,38 +176,38 @@
             reactor.listenUDP(
                 vm.peer.port, self._gossip.port, vm.peer.host, DATAGRAM_BYTES
             ),
-            reactor.listenTCP(vm.peer.port, answers, interface=vm.peer.host),
+            reactor.listenTCP(vm.peer.port, transfers, interface=vm.peer.host),
             reactor.listenTCP(vm.ready.port, probe, interface=vm.ready.host),
             reactor.listenTCP(vm.metrics.port, pages, interface=vm.metrics.host),
         ]
 
-    def _take_packets(self) -> None:
-        """Begin to read callers' packets.
+    def _open_data_port(self) -> None:
+        """Open the port for callers' packets, or poll until it can be read.
 
-        Those that wait in a socket that was bound early are read only once
-        there is something to carry them by; read before, they would be lost.
+        Packets in a socket that was bound early are read only once this VM has
+        routes and targets; packets read before that would be lost.
         """
         vm = self._settings.vm
         port = self._forwarder.port
-        if self._waiting is None:
+        if self._bound_socket is None:
             self._forwarder.begin()
-            taken = self._reactor.listenUDP(
+            listener = self._reactor.listenUDP(
                 vm.data.port, port, vm.data.host, DATAGRAM_BYTES
             )
         elif self._catalog.ready:
             if not self._carrier.began:
                 self._carrier.begin(clock.now_ms() - self._bound_ms)
             self._forwarder.begin()
-            taken = self._reactor.adoptDatagramPort(
-                self._waiting.fileno(), socket.AF_INET, port, DATAGRAM_BYTES
+            listener = self._reactor.adoptDatagramPort(
+                self._bound_socket.fileno(), socket.AF_INET, port, DATAGRAM_BYTES
             )
-            self._waiting.close()
+            self._bound_socket.close()
         else:
-            self._reactor.callLater(READY_POLL_INTERVAL_S, self._take_packets)
+            self._reactor.callLater(READY_POLL_INTERVAL_S, self._open_data_port)
             return
-        self._listening.append(taken)
+        self._listening.append(listener)
 
-    def _ask(self) -> None:
+    def _tick(self) -> None:
         now_ms = clock.now_ms()
         self._observations.tick(now_ms)
         vms = self._gossip.peers
@@ -227,10 +229,10 @@
             age_ms = knowledge.reported_age_ms(self._knowledge.age_ms(now_ms))
             self._log.write("ready" if ready else "not_ready", age_ms=age_ms)
         self._log.flush()
-        if self._stop_ms is not None:
-            self._end_if_done(now_ms, self._stop_ms)
+        if self._stop_requested_ms is not None:
+            self._exit_if_done(now_ms, self._stop_requested_ms)
 
-    def _end_if_done(self, now_ms: int, asked_ms: int) -> None:
+    def _exit_if_done(self, now_ms: int, asked_ms: int) -> None:
         grace_ms = int(self._settings.stop.grace_s * 1000)
         if stopping.may_exit(now_ms, asked_ms, self._carrier.packet_ms, grace_ms):
             self._log.write("stopped", after_ms=now_ms - asked_ms)
@@ -239,7 +241,7 @@
 
     @property
     def _ready(self) -> bool:
-        return self._catalog.ready and self._stop_ms is None
+        return self._catalog.ready and self._stop_requested_ms is None
 
     def _ready_page(self) -> web.Page:
         if self._ready:
--- a/eelgrasswick/cookie/event_log.py
+++ b/eelgrasswick/cookie/event_log.py
@@ -1,4 +1,4 @@
-"""The event log of an entry VM: bounded, and never in the way of packets."""
+"""The event log of an entry VM, which is bounded and never blocks the reactor."""
 
 import os
 import time
@@ -7,40 +7,41 @@
 from eelgrasswick import log_line
 from eelgrasswick.cookie import clock, stats
 
-# What may wait for whoever reads standard output. Beyond it lines are left out.
+# Pending output for the reader of standard output is limited to about this size.
+# Further lines are left out.
 MAX_PENDING_BYTES: typing.Final = 256_000
 
 
 class EventLog:
-    """Writes lines to a file descriptor that must not block."""
+    """Writes log lines to a file descriptor without blocking."""
 
     def __init__(
         self,
         descriptor: int,
         vm: str,
-        per_s: int,
-        counted: stats.Stats,
+        lines_per_s: int,
+        counters: stats.Stats,
         now_ms: typing.Callable[[], int] = clock.now_ms,
     ) -> None:
-        """Write for a VM.
+        """Create the event log of a VM.
 
         Args:
-            descriptor: File descriptor to write to.
+            descriptor: File descriptor to write to; it is set to non-blocking.
             vm: Name of the VM.
-            per_s: Lines of one sort that are written each second, at most.
-            counted: Counts what was left out.
-            now_ms: The clock by which seconds are told apart.
+            lines_per_s: Maximum number of lines of one event per second.
+            counters: Counts the lines that were left out.
+            now_ms: Clock that determines the seconds of that limit.
         """
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._vm = vm
-        self._bound = log_line.Bound(per_s)
-        self._stats = counted
+        self._bound = log_line.Bound(lines_per_s)
+        self._stats = counters
         self._now_ms = now_ms
         self._pending = bytearray()
 
     def write(self, event: str, **fields: object) -> None:
-        """Write a line, unless its sort has had its lines this second."""
+        """Append a line, unless its event has reached its limit for this second."""
         for sort, count in self._bound.next_second(self._now_ms()):
             self._stats.counts["log_lines_left_out"] += count
             self._line("log_bounded", {"sort": sort, "left_out": count})
@@ -48,15 +49,15 @@
             self._line(event, fields)
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write pending lines until the descriptor would block."""
         while self._pending:
             try:
                 written = os.write(self._descriptor, self._pending)
             except BlockingIOError:
-                # The reader is slow. Waiting for it would hold up packets.
+                # The reader is slow, and waiting for it would delay packets.
                 return
             except OSError:
-                # Nobody reads any more; what can be told is in the counters.
+                # The reader is gone. The failure is visible only in the counters.
                 self._stats.counts["log_write_failed"] += 1
                 self._pending.clear()
                 return
--- a/eelgrasswick/cookie/ports.py
+++ b/eelgrasswick/cookie/ports.py
@@ -6,25 +6,30 @@
 
 from eelgrasswick.cookie import model
 
-Receive = typing.Callable[[bytes, str], None]
+OnDatagram = typing.Callable[[bytes, str], None]
 Failed = typing.Callable[[str, Exception], None]
 
 
 class Port(protocol.DatagramProtocol):
-    """Passes datagrams on with the sender's IP address, and sends others."""
+    """Passes received datagrams to a callback, and sends datagrams."""
 
-    def __init__(self, receive: Receive, failed: Failed) -> None:
-        """Report datagrams, and those that could not be sent."""
-        self._receive = receive
-        self._failed = failed
+    def __init__(self, on_datagram: OnDatagram, on_unsent: Failed) -> None:
+        """Create a port for the reactor to listen on.
+
+        Args:
+            on_datagram: Called with each datagram and its sender's IP address.
+            on_unsent: Called with the host and the error when sending fails.
+        """
+        self._on_datagram = on_datagram
+        self._on_unsent = on_unsent
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
-        """Take a datagram from the reactor."""
-        self._receive(datagram, addr[0])
+        """Pass a datagram from the reactor to the callback."""
+        self._on_datagram(datagram, addr[0])
 
     def send(self, datagram: bytes, address: model.Address) -> None:
-        """Send a datagram; one that can't be sent is lost, like any other."""
+        """Send a datagram; it is lost, like any lost datagram, if sending fails."""
         try:
             typing.cast(typing.Any, self.transport).write(datagram, address)
         except (OSError, error.MessageLengthError) as failure:
-            self._failed(address.host, failure)
+            self._on_unsent(address.host, failure)
--- a/eelgrasswick/cookie/settings.py
+++ b/eelgrasswick/cookie/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry VM that carries flows by cookies: an INI file."""
+"""Settings, from an INI file, of an entry VM that forwards flows by cookies."""
 
 import typing
 
@@ -7,15 +7,15 @@
 
 
 class VmSettings(typing.NamedTuple):
-    """Section ``vm``: who this VM is and where it listens.
+    """Section ``vm``: name, zone and listening addresses of this VM.
 
     Attributes:
-        name: Its name in logs.
-        zone: Its availability zone.
-        data: Where callers' packets arrive; callers take them at this port.
-        ready: Where the fabric asks whether this VM takes packets.
-        peer: Where other VMs talk to it, UDP and TCP.
-        metrics: Where metrics are served.
+        name: Name of this VM in logs.
+        zone: Availability zone of this VM.
+        data: Address for callers' packets; callers receive packets at this port too.
+        ready: Address of the readiness probe that the fabric calls.
+        peer: Address for other VMs, UDP and TCP.
+        metrics: Address at which metrics are served.
     """
 
     name: str
@@ -27,13 +27,13 @@
 
 
 class FleetSettings(typing.NamedTuple):
-    """Section ``fleet``: IP addresses of some VMs to begin with."""
+    """Section ``fleet``: IP addresses of some VMs to contact at the start."""
 
     seeds: tuple[str, ...]
 
 
 class StoreSettings(typing.NamedTuple):
-    """Section ``store``: where the platform's store is."""
+    """Section ``store``: address of the platform's store."""
 
     address: model.Address
 
@@ -45,19 +45,24 @@
 
 
 class LogSettings(typing.NamedTuple):
-    """Section ``log``: lines of one sort that are written a second."""
+    """Section ``log``: maximum number of lines of one event per second."""
 
     lines_per_s: int
 
 
 class PolicySettings(typing.NamedTuple):
-    """Section ``policy``: whether flows are refused while answers are late."""
+    """Section ``policy``: whether flows are refused while targets answer late."""
 
     refuse: bool
 
 
 class ColdSettings(typing.NamedTuple):
-    """Section ``cold``: by how much a cold target may get more than it bears."""
+    """Section ``cold``: how far flows on a cold target may exceed its capacity.
+
+    Attributes:
+        overage: Factor on the flows that a cold target can serve.
+        slack_flows: Flows per second in addition to that.
+    """
 
     overage: float
     slack_flows: float
@@ -76,20 +81,20 @@
 
 
 def address(text: str) -> model.Address:
-    """Read ``IP:PORT``.
+    """Parse an address of the form ``IP:PORT``.
 
     Raises:
-        ValueError: The text has another form.
+        ValueError: The text is not a valid address.
     """
     host, _, port = text.rpartition(":")
     return model.Address(ini.ip(host), ini.integer(1, 65535)(port))
 
 
-def _hosts(text: str) -> tuple[str, ...]:
+def _seed_hosts(text: str) -> tuple[str, ...]:
     return tuple(address(item).host for item in ini.items(text))
 
 
-def _label(text: str) -> str:
+def _non_empty(text: str) -> str:
     if not text.strip():
         raise ValueError("must not be empty")
     return text.strip()
@@ -116,13 +121,13 @@
 
 
 ENTRIES: typing.Final = (
-    ini.Entry("vm", "name", "name of this VM", _label, None),
-    ini.Entry("vm", "zone", "its availability zone", _label, None),
+    ini.Entry("vm", "name", "name of this VM", _non_empty, None),
+    ini.Entry("vm", "zone", "its availability zone", _non_empty, None),
     ini.Entry("vm", "data", "IP:port for callers' packets", address, None),
     ini.Entry("vm", "ready", "IP:port of the readiness probe", address, None),
     ini.Entry("vm", "peer", "IP:port for other VMs", address, None),
     ini.Entry("vm", "metrics", "IP:port of the metrics", address, None),
-    ini.Entry("fleet", "seeds", "IP:port of some VMs", _hosts, ""),
+    ini.Entry("fleet", "seeds", "IP:port of some VMs", _seed_hosts, ""),
     ini.Entry("store", "address", "IP:port of the store", address, None),
     ini.Entry("stop", "grace_s", "s from SIGTERM to SIGKILL", _seconds, "6"),
     ini.Entry(
@@ -137,10 +142,10 @@
 
 
 def read(text: str) -> Settings:
-    """Check a settings text.
+    """Parse and validate the text of a settings file.
 
     Raises:
-        errors.SettingsInvalidError: The detail names every fault, one a line.
+        errors.SettingsInvalidError: The detail lists every fault, one per line.
     """
     values = ini.read(text, ENTRIES)
     return Settings(
--- a/eelgrasswick/cookie/stats.py
+++ b/eelgrasswick/cookie/stats.py
@@ -1,24 +1,24 @@
-"""Counters and latency histograms, as text for whoever scrapes them."""
+"""Counters, gauges and latency histograms in the Prometheus text format."""
 
 import bisect
 import collections
 import typing
 
 PREFIX: typing.Final = "eelgrasswick_"
-# From well below a local round trip to the longest usual deadline.
+# The bounds range from well below a local round trip to the longest usual deadline.
 BOUNDS_MS: typing.Final = (1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000)
 
 
 class Histogram:
-    """Counts of values below fixed bounds."""
+    """Counts of values in ms, by fixed upper bounds."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty histogram."""
         self._counts = [0] * (len(BOUNDS_MS) + 1)
         self._sum_ms = 0
 
     def add(self, value_ms: int) -> None:
-        """Count a value."""
+        """Add a value to its bucket and to the sum."""
         self._counts[bisect.bisect_left(BOUNDS_MS, value_ms)] += 1
         self._sum_ms += value_ms
 
@@ -33,20 +33,25 @@
 
 
 class Stats:
-    """All counters, gauges and histograms of one process."""
+    """Registry of all counters, gauges and histograms of one process.
+
+    Attributes:
+        counts: Counters by name, without prefix and suffix.
+        gauges: Gauges by name, without prefix.
+    """
 
     def __init__(self) -> None:
-        """Begin at zero."""
+        """Create a registry without any metrics."""
         self.counts: collections.Counter[str] = collections.Counter()
         self.gauges: dict[str, int] = {}
         self._histograms: dict[str, Histogram] = collections.defaultdict(Histogram)
 
     def observe(self, name: str, value_ms: int) -> None:
-        """Count a time in a histogram."""
+        """Add a duration in ms to a histogram."""
         self._histograms[name].add(value_ms)
 
     def text(self) -> str:
-        """Return everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         lines = []
         for name, count in sorted(self.counts.items()):
             full = f"{PREFIX}{name}_total"
--- a/eelgrasswick/cookie/stopping.py
+++ b/eelgrasswick/cookie/stopping.py
@@ -1,26 +1,28 @@
-"""When a VM that was asked to stop may end."""
+"""Policy for when a VM that was requested to stop may exit."""
 
 import typing
 
-# The fabric asks twice a second and needs two misses to leave a VM out.
+# The fabric probes twice a second, and takes a VM out of rotation after two failed
+# probes.
 OUT_OF_ROTATION_MS: typing.Final = 1600
-# Packets that come later than this after the last one are not for us any more.
+# When no packet has arrived for this long, the fabric is assumed to send no more
+# packets to this VM.
 QUIET_MS: typing.Final = 600
-# Kept free before the VM is killed.
+# The VM exits this long before the platform would kill it.
 KILL_MARGIN_MS: typing.Final = 700
 
 
 def may_exit(now_ms: int, asked_ms: int, last_packet_ms: int, grace_ms: int) -> bool:
-    """Tell whether to end now.
+    """Return True if the VM may exit now.
 
-    Ending while the fabric still sends packets here would drop them, and their
-    callers would wait for a retransmission.
+    A VM that exited while the fabric still sends packets to it would drop them, and
+    their callers would have to wait for a retransmission.
 
     Args:
         now_ms: Present time.
-        asked_ms: When the VM was asked to stop.
-        last_packet_ms: When the last packet of a caller came.
-        grace_ms: Time after which it is killed.
+        asked_ms: When the VM was requested to stop.
+        last_packet_ms: When the last packet of a caller arrived.
+        grace_ms: Time from the request to stop until the VM is killed.
     """
     if now_ms - asked_ms >= grace_ms - KILL_MARGIN_MS:
         return True
--- a/eelgrasswick/cookie/twisted_errors.py
+++ b/eelgrasswick/cookie/twisted_errors.py
@@ -1,4 +1,4 @@
-"""Errors that Twisted reports, as lines of the event log."""
+"""Redirection of errors that Twisted reports to the event log."""
 
 import typing
 
@@ -6,14 +6,14 @@
 
 from eelgrasswick.cookie import event_log, stats
 
-# The innermost frames of a traceback, which name the fault.
-TRACE_CHARACTERS: typing.Final = 600
+# The end of a traceback has the innermost frames, which identify the fault.
+MAX_TRACE_CHARACTERS: typing.Final = 600
 
 
-def redirect_to_log(log: event_log.EventLog, counted: stats.Stats) -> None:
-    """Write errors that Twisted reports as events of a log.
+def redirect_to_log(log: event_log.EventLog, counters: stats.Stats) -> None:
+    """Write errors that Twisted reports to an event log, and count them.
 
-    An error in a callback that nobody waits for would otherwise go to standard
+    Otherwise an error in a callback whose result is not awaited would go to standard
     error in many lines, where no search by event finds it.
     """
 
@@ -22,10 +22,10 @@
             logger.LogLevel.error,
             logger.LogLevel.critical,
         ):
-            counted.counts["internal_errors"] += 1
+            counters.counts["internal_errors"] += 1
             detail = logger.formatEvent(event)
             failure = event.get("log_failure")
-            where = failure.getTraceback()[-TRACE_CHARACTERS:] if failure else ""
+            where = failure.getTraceback()[-MAX_TRACE_CHARACTERS:] if failure else ""
             log.write("internal_error", detail=detail, where=where)
 
     logger.globalLogBeginner.beginLoggingTo(
--- a/eelgrasswick/cookie/web.py
+++ b/eelgrasswick/cookie/web.py
@@ -6,12 +6,12 @@
 from twisted.internet import protocol
 from twisted.protocols import policies
 
-# A connection that says nothing would hold a descriptor for good.
+# Without a time-out an idle connection would occupy a file descriptor forever.
 IDLE_TIMEOUT_S: typing.Final = 30
 
 
 class Page(typing.NamedTuple):
-    """An answer: HTTP status and text."""
+    """The HTTP status and text of a response."""
 
     status: int
     text: str
@@ -20,38 +20,38 @@
 Pages = dict[str, typing.Callable[[], Page]]
 
 
-class Web(protocol.Protocol, policies.TimeoutMixin):
-    """Answers GET requests by path, one after the other."""
+class HttpProtocol(protocol.Protocol, policies.TimeoutMixin):
+    """Responds to the HTTP requests of one connection by path, one at a time."""
 
     def __init__(self, pages: Pages) -> None:
-        """Answer with the pages of some paths; others get 404."""
+        """Serve the pages of some paths; other paths get 404."""
         self._pages = pages
         self._http = h11.Connection(h11.SERVER)
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Bound how long the client may be silent."""
+        """Start the idle time-out of the connection."""
         self.setTimeout(IDLE_TIMEOUT_S)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes of a request."""
+        """Handle received bytes of requests."""
         self.resetTimeout()
         try:
             self._http.receive_data(data)
-            self._events()
+            self._handle_events()
         except h11.ProtocolError:
             typing.cast(typing.Any, self.transport).loseConnection()
 
     def connectionLost(self, reason: typing.Any = protocol.connectionDone) -> None:  # noqa: N802
-        """Stop the timer."""
+        """Cancel the idle time-out."""
         self.setTimeout(None)
 
-    def _events(self) -> None:
+    def _handle_events(self) -> None:
         while True:
             event = self._http.next_event()
             if event in (h11.NEED_DATA, h11.PAUSED):
                 return
             if isinstance(event, h11.Request):
-                self._answer(event)
+                self._respond(event)
             elif isinstance(event, h11.EndOfMessage):
                 if self._http.our_state is h11.MUST_CLOSE:
                     typing.cast(typing.Any, self.transport).loseConnection()
@@ -61,10 +61,10 @@
                 typing.cast(typing.Any, self.transport).loseConnection()
                 return
 
-    def _answer(self, request: h11.Request) -> None:
+    def _respond(self, request: h11.Request) -> None:
         path = request.target.decode("latin-1").partition("?")[0]
-        known = self._pages.get(path)
-        page = known() if known is not None else Page(404, "no such page\n")
+        make_page = self._pages.get(path)
+        page = make_page() if make_page is not None else Page(404, "no such page\n")
         body = page.text.encode()
         headers = [
             ("Content-Type", "text/plain; charset=utf-8"),
@@ -81,14 +81,14 @@
 
 
 class WebFactory(protocol.Factory):
-    """Makes a ``Web`` for each connection."""
+    """Creates an ``HttpProtocol`` for each connection."""
 
     noisy = False
 
     def __init__(self, pages: Pages) -> None:
-        """Serve some pages."""
+        """Serve the pages of some paths on each connection."""
         self._pages = pages
 
-    def buildProtocol(self, addr: object) -> Web:  # noqa: N802
-        """Return the protocol of a new connection."""
-        return Web(self._pages)
+    def buildProtocol(self, addr: object) -> HttpProtocol:  # noqa: N802
+        """Create the protocol of a new connection."""
+        return HttpProtocol(self._pages)
