--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -24,7 +24,7 @@
     """
 
     def __init__(
-        self, reactor: typing.Any, carrier: carrying.Carrier, failed: ports.Failed
+        self, reactor: typing.Any, carrier: carrying.Carrier, failed: ports.OnUnsent
     ) -> None:
         """Carry packets.
 
--- a/eelgrasswick/cookie/gossip.py
+++ b/eelgrasswick/cookie/gossip.py
@@ -61,7 +61,7 @@
         zone: str,
         parts: Parts,
         rng: random.Random,
-        on_unsent: ports.Failed,
+        on_unsent: ports.OnUnsent,
     ) -> None:
         """Create the gossip task of a VM.
 
--- a/eelgrasswick/cookie/ports.py
+++ b/eelgrasswick/cookie/ports.py
@@ -7,13 +7,13 @@
 from eelgrasswick.cookie import model
 
 OnDatagram = typing.Callable[[bytes, str], None]
-Failed = typing.Callable[[str, Exception], None]
+OnUnsent = typing.Callable[[str, Exception], None]
 
 
 class Port(protocol.DatagramProtocol):
     """Passes received datagrams to a callback, and sends datagrams."""
 
-    def __init__(self, on_datagram: OnDatagram, on_unsent: Failed) -> None:
+    def __init__(self, on_datagram: OnDatagram, on_unsent: OnUnsent) -> None:
         """Create a port for the reactor to listen on.
 
         Args:
