--- a/tests/cookie_parts.py
+++ b/tests/cookie_parts.py
@@ -1,4 +1,4 @@
-"""Routes, targets and packets for tests of flows that name their target."""
+"""Builders of routes, targets and packets for tests of cookie-based flows."""
 
 import json
 import socket
@@ -20,7 +20,7 @@
 def config_row(
     revision: int, version: int = 1, routes: typing.Iterable[tuple[str, int, str]] = ()
 ) -> source.Row:
-    """Return a configuration's row; each route is address, port and service."""
+    """Return a configuration row; each route is an address, a port and a service."""
     listed = list(routes) or [("198.18.0.1", PORT, "desk")]
     body = {
         "version": version,
@@ -45,7 +45,7 @@
 
 
 def target_row(name: str, revision: int, **changes: typing.Any) -> source.Row:
-    """Return a server's row; ``changes`` replace fields, None drops one."""
+    """Return a target's row; ``changes`` replace fields, and None removes a field."""
     body: dict[str, typing.Any] = {
         "service": "desk",
         "address": f"10.128.0.{int(name[-2:], 16)}:8080",
@@ -63,17 +63,17 @@
 
 
 def gone_row(name: str, revision: int) -> source.Row:
-    """Return the row of a server whose entry was deleted."""
+    """Return the row of a target whose entry was deleted."""
     return source.Row(f"servers/{name}", None, revision)
 
 
 def listing(*rows: source.Row) -> source.Changes:
-    """Return rows as a full listing."""
+    """Return a full listing that consists of some rows."""
     return source.Changes(rows, max(row.revision for row in rows), 0)
 
 
 def catalog_from(*rows: source.Row, now_ms: int = 0) -> catalog.Catalog:
-    """Return a catalog that was read from rows."""
+    """Return a catalog that was updated from some rows."""
     made = catalog.Catalog(entries.Reader())
     made.update(now_ms, knowledge.Merge(rows, 0))
     return made
@@ -88,7 +88,7 @@
     data: bytes = b"",
     port: int = PORT,
 ) -> bytes:
-    """Return a caller's datagram, field by field as the protocol page has it."""
+    """Return a caller's datagram, encoded field by field as the protocol defines."""
     head = struct.pack(">HII", len(data), sequence, acknowledged)
     head += struct.pack(">I", cookie) + b"\xa1\xb2\xc3\xd5" + SERVICE_IP
     head += struct.pack(">H", caller_port) + CALLER_IP + struct.pack(">H", port)
--- a/tests/entry_parts.py
+++ b/tests/entry_parts.py
@@ -20,45 +20,53 @@
 _OFFSETS: typing.Final = {"ready": 1, "peer": 2, "metrics": 3}
 
 
-# Held until this process ends, so that tests in other processes take another.
+# The address block stays reserved until this process ends, so that tests in other
+# processes use other blocks.
 _HELD: typing.Final = contextlib.ExitStack()
 _BLOCK: typing.Final = _HELD.enter_context(layout.reserved())
 
 
 def host(number: int) -> str:
-    """Return a loopback address that no other process of tests uses."""
+    """Return a loopback address that no other test process uses."""
     return f"127.{_BLOCK}.1.{number}"
 
 
 class MemoryStore(source.ChangeSource):
-    """A store in memory; ``down`` makes every call fail."""
+    """A store in memory.
+
+    Attributes:
+        rows: All rows by key.
+        down: True makes every call fail.
+        calls: Number of calls so far.
+        revision: Revision of the last write.
+    """
 
     def __init__(self, *rows: source.Row) -> None:
-        """Hold some rows."""
+        """Create a store with some rows."""
         self.rows = {row.key: row for row in rows}
         self.down = False
         self.calls = 0
         self.revision = max((row.revision for row in rows), default=0)
 
     def write(self, row: source.Row) -> None:
-        """Write a row at its revision."""
+        """Store a row, and adopt its revision."""
         self.rows[row.key] = row
         self.revision = row.revision
 
     async def read_all(self) -> source.Changes:
         """Return all rows; see the base class."""
-        self._count()
+        self._count_call()
         return source.Changes(tuple(self.rows.values()), self.revision, 0)
 
     async def changes(self, after: int, wait_ms: int) -> source.Changes:
-        """Return what changed, at once or after a short wait."""
-        self._count()
+        """Return the rows that changed; wait briefly if there are none."""
+        self._count_call()
         if self.revision == after:
             await _sleep(0.05)
         rows = tuple(row for row in self.rows.values() if row.revision > after)
         return source.Changes(rows, self.revision, after)
 
-    def _count(self) -> None:
+    def _count_call(self) -> None:
         self.calls += 1
         if self.down:
             raise errors.StoreError("down")
@@ -72,7 +80,7 @@
 
 
 class RunningVm:
-    """An entry VM, and the pipe that its log goes to."""
+    """A running entry VM that writes its log to a pipe."""
 
     def __init__(
         self,
@@ -86,17 +94,17 @@
 
         Args:
             host: Its address.
-            store: The store it watches.
+            store: The store that it watches.
             seeds: Addresses of other VMs.
-            waiting: A bound socket for packets.
-            waited_ms: For how long that socket has been bound.
+            waiting: A bound socket that queues callers' packets.
+            waited_ms: Time since that socket was bound.
         """
         self.host = host
         text = f"[vm]\nname = vm-{host}\nzone = z1\ndata = {host}:{DATA_PORT}\n"
         for key, offset in _OFFSETS.items():
             text += f"{key} = {host}:{DATA_PORT + offset}\n"
-        named = ", ".join(f"{seed}:1" for seed in seeds)
-        text += f"[store]\naddress = {host}:1\n[fleet]\nseeds = {named}\n"
+        seed_list = ", ".join(f"{seed}:1" for seed in seeds)
+        text += f"[store]\naddress = {host}:1\n[fleet]\nseeds = {seed_list}\n"
         self.text = text
         self._read, self._write = os.pipe()
         loaded = settings.read(text)
@@ -128,20 +136,20 @@
             return []
 
     def get(self, key: str, path: str) -> bytes:
-        """Return the answer to a GET at one of its addresses, head and all."""
+        """Return the response to a GET at one of its addresses, with headers."""
         with socket.create_connection((self.host, DATA_PORT + _OFFSETS[key])) as made:
             made.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
             made.setblocking(False)
             got = bytearray()
-            turning.until(lambda: _received(made, got), "an answer")
+            turning.until(lambda: _received(made, got), "an HTTP response")
             return bytes(got)
 
     def ready(self) -> bool:
-        """Tell what the readiness probe says."""
+        """Return True if the readiness probe succeeds."""
         return self.get("ready", READY_PATH).startswith(b"HTTP/1.1 200")
 
     def end(self) -> None:
-        """Close its sockets and its log."""
+        """Stop the VM's tasks, and close its sockets and its log."""
         turning.result(self.vm.close())
         os.close(self._write)
         os.close(self._read)
--- a/tests/turning.py
+++ b/tests/turning.py
@@ -1,4 +1,4 @@
-"""Turns the reactor by hand until something has happened."""
+"""Helpers that run the reactor step by step until a condition holds."""
 
 import contextlib
 import socket
@@ -10,15 +10,15 @@
 
 from eelgrasswick.cookie import model
 
-# Far above what any test waits for; a hung one ends with an error.
+# No test waits nearly this long. A test that hangs fails after this time.
 LIMIT_S: typing.Final = 20.0
 
 
 def until(done: typing.Callable[[], bool], what: str = "the test's end") -> None:
-    """Turn the reactor until a condition holds.
+    """Run the reactor until a condition holds.
 
     Raises:
-        TimeoutError: It did not come to hold.
+        TimeoutError: The condition did not hold within ``LIMIT_S``.
     """
     reactor = typing.cast(typing.Any, default_reactor)
     if not reactor.running:
@@ -31,7 +31,7 @@
 
 
 def result(awaited: typing.Any) -> typing.Any:
-    """Return what a coroutine or deferred returns, or raise what it raises."""
+    """Run a coroutine or deferred to its end, and return or raise its result."""
     ended: list[object] = []
     deferred = defer.ensureDeferred(awaited)
     deferred.addBoth(ended.append)
@@ -43,7 +43,7 @@
 
 @contextlib.contextmanager
 def full_listener() -> typing.Iterator[model.Address]:
-    """Give the address of a listener that takes no more connections."""
+    """Yield the address of a listener whose backlog is full."""
     listener = socket.socket()
     waiting = []
     with contextlib.closing(listener):
