--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""An entry VM on real sockets."""
+"""Tests of an entry VM on loopback sockets."""
 
 import socket
 import time
@@ -81,7 +81,7 @@
         made.sendto(datagram, (vm.host, entry_parts.DATA_PORT))
 
 
-def test_opening_packet_reaches_the_target(
+def test_opening_packet_reaches_a_target_and_is_logged(
     start: Start, store: entry_parts.MemoryStore, server: socket.socket
 ) -> None:
     vm = start(entry_parts.host(1), store)
@@ -94,14 +94,11 @@
     assert "age_ms=" in line
 
 
-def test_starts_without_the_store_from_another_vm(
+def test_vm_without_a_store_starts_with_rows_of_another_vm(
     start: Start, store: entry_parts.MemoryStore, server: socket.socket
 ) -> None:
-    """A VM is killed while the store is down, and starts again.
-
-    Its callers would be refused until the store is back if it could not ask
-    another VM. The configuration is too large for a datagram.
-    """
+    """Guards against a VM that restarts without the store and refuses its callers."""
+    # This configuration is too large for a datagram.
     many = [("198.18.0.1", port, "desk") for port in range(443, 900)]
     store.write(cookie_parts.config_row(3, routes=many))
     first = start(entry_parts.host(1), store)
@@ -114,13 +111,10 @@
     assert _await_datagram(server)
 
 
-def test_change_goes_from_one_vm_to_another(
+def test_vm_that_the_store_refuses_gets_changes_from_another_vm(
     start: Start, store: entry_parts.MemoryStore
 ) -> None:
-    """The store refuses one VM and serves the other.
-
-    The refused one must not go on with the old rules.
-    """
+    """Guards against old rules at a VM that the store refuses while others get changes."""
     away = entry_parts.MemoryStore()
     away.down = True
     first = start(entry_parts.host(1), store)
@@ -138,10 +132,7 @@
 
 
 def test_not_ready_without_a_store_or_peers(start: Start) -> None:
-    """A VM starts alone while the store is down.
-
-    Were it in rotation, its callers would get no answer.
-    """
+    """Guards against a VM without routes in rotation, whose callers get no answer."""
     away = entry_parts.MemoryStore()
     away.down = True
     vm = start(entry_parts.host(1), away)
@@ -152,13 +143,13 @@
     turning.until(lambda: lines.extend(vm.log()) or "flow_not_ready" in str(lines))
 
 
-def test_vm_that_stood_still_drops_old_opening_packets(
+def test_vm_that_was_suspended_drops_old_opening_packets(
     start: Start, store: entry_parts.MemoryStore, server: socket.socket
 ) -> None:
-    """A VM is suspended, and its callers have long opened their flows elsewhere.
+    """Guards against flows opened twice, at different targets.
 
-    The opening packets that wait in its socket would open them a second time,
-    at other targets.
+    While a VM is suspended, its callers open their flows through other VMs, and the
+    opening packets stay in its socket.
     """
     vm = start(entry_parts.host(1), store)
     _await_ready(vm)
@@ -174,12 +165,12 @@
     assert _await_datagram(server)
 
 
-def test_packets_that_came_during_the_start_are_carried(
+def test_packets_that_arrive_during_the_start_are_forwarded(
     start: Start, store: entry_parts.MemoryStore, server: socket.socket
 ) -> None:
-    """All VMs lose power, and the fabric sends packets while they start.
+    """Guards against lost packets when all VMs start again after a power failure.
 
-    Lost, their callers would send them again only after their deadline.
+    Callers would retransmit them only after their deadline.
     """
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as waiting:
         waiting.bind((entry_parts.host(1), entry_parts.DATA_PORT))
@@ -194,11 +185,10 @@
 def test_old_opening_packets_of_a_slow_start_are_dropped(
     start: Start, store: entry_parts.MemoryStore, server: socket.socket
 ) -> None:
-    """A VM is killed and takes a second to start on a busy machine.
+    """Guards against flows placed at two targets, one of which resets the flow.
 
-    An opening packet waited in its socket while the caller's last copy opened the
-    flow through another VM. Placed here as well, it would be open at two servers,
-    and the one that does not hold it would reset it.
+    While a killed VM takes a second to start on a busy machine, an opening packet is
+    in its socket, and the caller's last copy opens the flow through another VM.
     """
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as waiting:
         waiting.bind((entry_parts.host(1), entry_parts.DATA_PORT))
@@ -209,7 +199,8 @@
                 made.sendto(raw, (entry_parts.host(1), entry_parts.DATA_PORT))
         vm = start(entry_parts.host(1), store, waiting=waiting, waited_ms=1000)
         taken = _await_datagram(server)
-    # Nobody had answered the last copy when it was sent, and no other follows.
+    # The last copy was sent because no earlier copy was answered, and no further copy
+    # follows, so the VM forwards it.
     assert cookie_parts.caller_port_of(taken) == 40_002
     lines: list[str] = []
     turning.until(lambda: lines.extend(vm.log()) or "flow_dropped_old" in str(lines))
@@ -218,9 +209,9 @@
 def test_start_counts_as_a_pause(
     start: Start, store: entry_parts.MemoryStore, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against targets that look as if they hung when all VMs start again.
+    """Guards against targets that look hung when all VMs start again.
 
-    Answers to what was carried during the imports lie in the socket unread.
+    Answers to packets that were forwarded during the imports are still unread.
     """
     noted: list[int] = []
     monkeypatch.setattr(
@@ -232,14 +223,16 @@
     assert noted[0] >= begun_ms
 
 
-def test_leaving_vm_says_so(start: Start, store: entry_parts.MemoryStore) -> None:
+def test_stopping_vm_is_not_ready(start: Start, store: entry_parts.MemoryStore) -> None:
     vm = start(entry_parts.host(1), store)
     _await_ready(vm)
     vm.vm.stop()
     assert not vm.ready()
 
 
-def test_metrics(start: Start, store: entry_parts.MemoryStore) -> None:
+def test_metrics_page_has_counters_and_gauges(
+    start: Start, store: entry_parts.MemoryStore
+) -> None:
     vm = start(entry_parts.host(1), store)
     _await_ready(vm)
     _send(vm, b"no packet")
@@ -252,10 +245,7 @@
 def test_flood_of_bad_datagrams_is_bounded_in_the_log(
     start: Start, store: entry_parts.MemoryStore
 ) -> None:
-    """Anyone can send to the port of an entry VM.
-
-    A line for each datagram would take the time that packets need.
-    """
+    """Guards against a log line for each bad datagram, which would delay packets."""
     vm = start(entry_parts.host(1), store)
     _await_ready(vm)
     vm.log()
@@ -268,7 +258,9 @@
     assert 0 < len(dropped) <= 60
 
 
-def test_new_seeds_are_taken(start: Start, store: entry_parts.MemoryStore) -> None:
+def test_seeds_of_reloaded_settings_are_contacted(
+    start: Start, store: entry_parts.MemoryStore
+) -> None:
     away = entry_parts.MemoryStore()
     away.down = True
     start(entry_parts.host(1), store)
@@ -278,7 +270,7 @@
     _await_ready(alone)
 
 
-def test_deleted_target_is_told(start: Start, store: entry_parts.MemoryStore) -> None:
+def test_deleted_target_is_logged(start: Start, store: entry_parts.MemoryStore) -> None:
     vm = start(entry_parts.host(1), store)
     _await_ready(vm)
     store.write(source.Row("servers/i-0a", None, 7))
@@ -289,10 +281,10 @@
 def _probe_all_refused(
     monkeypatch: pytest.MonkeyPatch, vm: entry_parts.RunningVm, blocked_s: float
 ) -> list[str]:
-    """Probe the only target with a flow while its neighbour answers.
+    """Probe, without success, the only target with a flow while its neighbour answers.
 
     Returns:
-        The log's lines of the probe.
+        The log lines about the probe.
     """
     neighbour = next(t for t in vm.vm._catalog.targets if t.name == "i-0b")
 
@@ -315,12 +307,12 @@
     return [line for line in lines if "event=target_" in line]
 
 
-def test_word_of_another_vm_leads_to_a_probe(
+def test_dead_target_notice_of_another_vm_leads_to_a_probe(
     start: Start, store: entry_parts.MemoryStore, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Another VM has found a server dead on which this one has a pausing flow.
+    """Guards against an idle flow on a dead target whose caller loses a request.
 
-    Its caller would lose its next request, and one that may run only once for good.
+    A request that may run only once would be lost for good.
     """
     store.write(cookie_parts.target_row("i-0b", 3))
     vm = start(entry_parts.host(1), store)
@@ -331,13 +323,12 @@
     assert "flows_reset=1" in lines[0]
 
 
-def test_probe_of_a_vm_that_stood_still_proves_nothing(
+def test_failed_probe_of_a_vm_that_was_suspended_resets_no_flow(
     start: Start, store: entry_parts.MemoryStore, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A VM stands still while it waits for a server to accept a connection.
+    """Guards against resetting flows of a live target after a pause of the VM.
 
-    Its timer runs out before the answer is read. Reset, the open flows of a server
-    that lives would be broken.
+    The probe's time-out expires during the pause, before the VM reads the answer.
     """
     store.write(cookie_parts.target_row("i-0b", 3))
     vm = start(entry_parts.host(1), store)
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -1,4 +1,4 @@
-"""The task that calls the store."""
+"""Tests of the task that watches the store, of the event log and of metrics."""
 
 import os
 import random
@@ -14,11 +14,11 @@
 ROW = source.Row("servers/i-0a", b"v", 5)
 
 
-class Script(source.ChangeSource):
-    """A store that gives prepared answers."""
+class ScriptedStore(source.ChangeSource):
+    """A store that returns prepared answers."""
 
     def __init__(self, *answers: Answer) -> None:
-        """Give some answers, one after the other."""
+        """Prepare answers, which are returned one after the other."""
         self.answers = list(answers)
         self.calls: list[str] = []
 
@@ -38,37 +38,37 @@
         return answer
 
 
-class Task:
-    """A store_watch task whose clock is turned by hand."""
+class WatchTask:
+    """A store watch with a clock that the test advances."""
 
-    def __init__(self, script: Script, log: int) -> None:
-        """Call a scripted store."""
+    def __init__(self, script: ScriptedStore, log: int) -> None:
+        """Create a watch that calls a scripted store."""
         self.now_ms = 100_000
         self.knowledge = knowledge.Knowledge()
         self.merges: list[knowledge.Merge] = []
         written = event_log.EventLog(log, "vm1", 100, stats.Stats())
         self.store_watch = store_watch.StoreWatch(
-            script, self.knowledge, self._merged, written, random.Random(1)
+            script, self.knowledge, self._record_merge, written, random.Random(1)
         )
 
-    def _merged(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
+    def _record_merge(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
         self.merges.append(merge)
 
     def step(self, after_ms: int = 5000) -> None:
-        """Let time pass, and call the store if it is this VM's turn."""
+        """Advance the clock, and call the store if a call is due."""
         self.now_ms += after_ms
         self.store_watch.check(self.now_ms, 0)
 
 
-Start = typing.Callable[..., Task]
+Start = typing.Callable[..., WatchTask]
 
 
 @pytest.fixture
 def start(monkeypatch: pytest.MonkeyPatch) -> typing.Iterator[Start]:
     read, write = os.pipe()
 
-    def begin(script: Script) -> Task:
-        made = Task(script, write)
+    def begin(script: ScriptedStore) -> WatchTask:
+        made = WatchTask(script, write)
         monkeypatch.setattr(clock, "now_ms", lambda: made.now_ms)
         return made
 
@@ -82,7 +82,7 @@
 
 
 def test_lists_first_then_watches(start: Start) -> None:
-    script = Script(_listing(5, ROW), source.Changes((), 5, 5))
+    script = ScriptedStore(_listing(5, ROW), source.Changes((), 5, 5))
     task = start(script)
     task.step()
     task.step()
@@ -90,13 +90,10 @@
     assert task.knowledge.age_ms(task.now_ms) <= 0
 
 
-def test_forgotten_history_is_made_good_by_a_listing(start: Start) -> None:
-    """The store has dropped its history while a server left.
-
-    A VM that went on watching would never hear of that server again.
-    """
+def test_listing_follows_a_watch_whose_history_is_gone(start: Start) -> None:
+    """Guards against targets that left unnoticed while the store lost its history."""
     gone = errors.HistoryGoneError("410")
-    script = Script(_listing(5, ROW), gone, _listing(9))
+    script = ScriptedStore(_listing(5, ROW), gone, _listing(9))
     task = start(script)
     for _ in range(3):
         task.step()
@@ -104,12 +101,9 @@
     assert task.merges[-1].rows == (ROW._replace(value=None),)
 
 
-def test_answer_that_skips_changes_is_not_believed(start: Start) -> None:
-    """A watch ends with a later revision and without the changes up to it.
-
-    Taken over, these changes would be hidden from this VM for good.
-    """
-    script = Script(
+def test_listing_follows_an_answer_that_skips_changes(start: Start) -> None:
+    """Guards against changes lost for good with a later revision without rows."""
+    script = ScriptedStore(
         _listing(5, ROW),
         source.Changes((), 8, 5),
         _listing(8, ROW._replace(revision=7)),
@@ -121,13 +115,10 @@
     assert task.knowledge.revision == 8
 
 
-def test_failed_calls_leave_knowledge_old(start: Start) -> None:
-    """The store answers nothing for seconds.
-
-    A VM that took its knowledge for fresh would refuse routes that were added.
-    """
+def test_failed_calls_confirm_nothing(start: Start) -> None:
+    """Guards against a VM that treats old rows as current and refuses new routes."""
     lost = errors.StoreError("no answer")
-    script = Script(_listing(5, ROW), lost, lost, source.Changes((), 5, 5))
+    script = ScriptedStore(_listing(5, ROW), lost, lost, source.Changes((), 5, 5))
     task = start(script)
     task.step()
     task.step()
@@ -140,9 +131,9 @@
 
 
 def test_one_call_at_a_time(start: Start) -> None:
-    """A call hangs. Each further one would hang too, and be paid for."""
+    """Guards against further calls, each paid for, while one call hangs."""
 
-    class Hanging(Script):
+    class Hanging(ScriptedStore):
         async def read_all(self) -> source.Changes:
             self.calls.append("list")
             await typing.cast(typing.Any, defer.Deferred())
@@ -155,25 +146,22 @@
     assert script.calls == ["list"]
 
 
-def test_journal_never_waits_for_its_reader() -> None:
-    """Whoever collects the logs has stopped reading.
-
-    A VM that waited for it would carry no packet.
-    """
+def test_event_log_does_not_block_when_its_reader_stops() -> None:
+    """Guards against a VM that forwards no packets while it waits for a log reader."""
     read, write = os.pipe()
-    counted = stats.Stats()
-    written = event_log.EventLog(write, "vm1", 10**9, counted)
+    counters = stats.Stats()
+    written = event_log.EventLog(write, "vm1", 10**9, counters)
     for _ in range(20_000):
         written.write("event", detail="x" * 50)
         written.flush()
-    assert counted.counts["log_lines_left_out"] > 0
+    assert counters.counts["log_lines_left_out"] > 0
     os.close(read)
     written.flush()
-    assert counted.counts["log_write_failed"] == 1
+    assert counters.counts["log_write_failed"] == 1
     os.close(write)
 
 
-def test_journal_says_what_was_left_out() -> None:
+def test_event_log_counts_the_lines_left_out() -> None:
     read, write = os.pipe()
     times_ms = iter((0, 1, 2, 3, 1500))
     written = event_log.EventLog(write, "vm1", 2, stats.Stats(), lambda: next(times_ms))
@@ -192,13 +180,13 @@
     os.close(write)
 
 
-def test_page_of_metrics() -> None:
-    counted = stats.Stats()
-    counted.counts["packets"] += 3
-    counted.gauges["flows"] = 2
+def test_metrics_have_the_prometheus_text_format() -> None:
+    counters = stats.Stats()
+    counters.counts["packets"] += 3
+    counters.gauges["flows"] = 2
     for value_ms in (1, 30, 9000):
-        counted.observe("answer", value_ms)
-    text = counted.text()
+        counters.observe("answer", value_ms)
+    text = counters.text()
     assert "eelgrasswick_packets_total 3" in text
     assert "eelgrasswick_flows 2" in text
     assert 'eelgrasswick_answer_ms_bucket{le="50"} 2' in text
