--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -232,10 +232,10 @@
         if self._stop_requested_ms is not None:
             self._exit_if_done(now_ms, self._stop_requested_ms)
 
-    def _exit_if_done(self, now_ms: int, asked_ms: int) -> None:
+    def _exit_if_done(self, now_ms: int, requested_ms: int) -> None:
         grace_ms = int(self._settings.stop.grace_s * 1000)
-        if stopping.may_exit(now_ms, asked_ms, self._carrier.packet_ms, grace_ms):
-            self._log.write("stopped", after_ms=now_ms - asked_ms)
+        if stopping.may_exit(now_ms, requested_ms, self._carrier.packet_ms, grace_ms):
+            self._log.write("stopped", after_ms=now_ms - requested_ms)
             self._log.flush()
             self._reactor.stop()
 
--- a/eelgrasswick/cookie/exchange.py
+++ b/eelgrasswick/cookie/exchange.py
@@ -231,9 +231,9 @@
         )
 
     def _record_response(self, now_ms: int, host: str, item: _Message) -> None:
-        asked = self._pending_requests.pop(item.number, None)
-        if asked is not None and asked[0] == host:
-            confirmed_ms = asked[1] - item.age_ms
+        pending = self._pending_requests.pop(item.number, None)
+        if pending is not None and pending[0] == host:
+            confirmed_ms = pending[1] - item.age_ms
             self._knowledge.confirm(item.revision, confirmed_ms)
             self._peers.record_response(host, confirmed_ms)
 
--- a/eelgrasswick/cookie/gossip.py
+++ b/eelgrasswick/cookie/gossip.py
@@ -164,10 +164,10 @@
 
     async def _fetch(self, host: str) -> None:
         self._fetching.add(host)
-        asked_ms = clock.now_ms()
+        requested_ms = clock.now_ms()
         address = model.Address(host, self._peer_port)
         try:
-            taken = await transfer.fetch(
+            received = await transfer.fetch(
                 self._reactor, address, self._knowledge.revision
             )
         except errors.EelgrasswickError as error:
@@ -178,9 +178,9 @@
             self._fetching.discard(host)
         now_ms = clock.now_ms()
         self.publish_merge(
-            now_ms, taken.merge_into(now_ms, asked_ms, self._knowledge), host
+            now_ms, received.merge_into(now_ms, requested_ms, self._knowledge), host
         )
-        self.peers.add_members(now_ms, taken.sender_state.members)
+        self.peers.add_members(now_ms, received.sender_state.members)
 
     def _send_peer(self, item: exchange.Outgoing) -> None:
         self.port.send(item.payload, model.Address(item.host, self._peer_port))
--- a/eelgrasswick/cookie/knowledge.py
+++ b/eelgrasswick/cookie/knowledge.py
@@ -93,8 +93,8 @@
         """Return the rows that a VM lacks which has all changes up to a revision."""
         if revision < self._oldest_base or revision == 0:
             return source.Changes(tuple(self._rows.values()), self.revision, 0)
-        known = (*self._rows.values(), *self._tombstones.values())
-        rows = tuple(row for row in known if row.revision > revision)
+        candidates = (*self._rows.values(), *self._tombstones.values())
+        rows = tuple(row for row in candidates if row.revision > revision)
         return source.Changes(rows, self.revision, revision)
 
     def _merge_row(self, row: source.Row) -> bool:
--- a/eelgrasswick/cookie/stopping.py
+++ b/eelgrasswick/cookie/stopping.py
@@ -12,7 +12,9 @@
 KILL_MARGIN_MS: typing.Final = 700
 
 
-def may_exit(now_ms: int, asked_ms: int, last_packet_ms: int, grace_ms: int) -> bool:
+def may_exit(
+    now_ms: int, requested_ms: int, last_packet_ms: int, grace_ms: int
+) -> bool:
     """Return True if the VM may exit now.
 
     A VM that exited while the fabric still sends packets to it would drop them, and
@@ -20,11 +22,11 @@
 
     Args:
         now_ms: Present time.
-        asked_ms: When the VM was requested to stop.
+        requested_ms: When the VM was requested to stop.
         last_packet_ms: When the last packet of a caller arrived.
         grace_ms: Time from the request to stop until the VM is killed.
     """
-    if now_ms - asked_ms >= grace_ms - KILL_MARGIN_MS:
+    if now_ms - requested_ms >= grace_ms - KILL_MARGIN_MS:
         return True
     quiet = now_ms - last_packet_ms >= QUIET_MS
-    return quiet and now_ms - asked_ms >= OUT_OF_ROTATION_MS
+    return quiet and now_ms - requested_ms >= OUT_OF_ROTATION_MS
--- a/eelgrasswick/cookie/store_watch.py
+++ b/eelgrasswick/cookie/store_watch.py
@@ -87,14 +87,14 @@
             self._busy = False
 
     async def _read_all(self) -> None:
-        asked_ms = clock.now_ms()
+        requested_ms = clock.now_ms()
         changes = await self._source.read_all()
         self._needs_listing = False
         self._merge(changes)
-        self._knowledge.confirm(changes.revision, asked_ms)
+        self._knowledge.confirm(changes.revision, requested_ms)
 
     async def _watch(self) -> None:
-        asked_ms = clock.now_ms()
+        requested_ms = clock.now_ms()
         before = self._knowledge.revision
         changes = await self._source.changes(before, watch_policy.WATCH_TIMEOUT_MS)
         if not changes.rows and changes.revision > before:
@@ -105,20 +105,20 @@
         self._merge(changes)
         # A watch that returns no rows has waited for its whole time-out.
         waited_ms = 0 if changes.rows else watch_policy.WATCH_TIMEOUT_MS
-        self._knowledge.confirm(changes.revision, asked_ms + waited_ms)
+        self._knowledge.confirm(changes.revision, requested_ms + waited_ms)
 
     def _merge(self, changes: source.Changes) -> None:
         now_ms = clock.now_ms()
         merge = self._knowledge.merge(now_ms, changes)
         self._on_merge(now_ms, merge, _SOURCE_NAME)
 
-    def _record_success(self, asked_ms: int) -> None:
+    def _record_success(self, requested_ms: int) -> None:
         now_ms = clock.now_ms()
         if self._policy.failures:
             self._log.write(
                 "store_regained",
                 failures=self._policy.failures,
-                answer_ms=now_ms - asked_ms,
+                answer_ms=now_ms - requested_ms,
                 revision=self._knowledge.revision,
             )
         self._policy.record_success(now_ms, self._rank)
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -8,7 +8,7 @@
 
 
 @pytest.fixture
-def known() -> catalog.Catalog:
+def current() -> catalog.Catalog:
     return cookie_parts.catalog_from(
         cookie_parts.config_row(1),
         cookie_parts.target_row("i-0a", 2),
@@ -16,86 +16,88 @@
     )
 
 
-def _names(known: catalog.Catalog) -> set[str]:
-    return {item.name for item in known.accepting("desk")}
+def _names(current: catalog.Catalog) -> set[str]:
+    return {item.name for item in current.accepting("desk")}
 
 
 def _update(
-    known: catalog.Catalog, now_ms: int, row: source.Row, gap_ms: int = 0
+    current: catalog.Catalog, now_ms: int, row: source.Row, previous_age_ms: int = 0
 ) -> list[catalog.LogEvent]:
-    return known.update(now_ms, knowledge.Merge((row,), gap_ms))
+    return current.update(now_ms, knowledge.Merge((row,), previous_age_ms))
 
 
-def test_draining_target_gets_no_new_flow(known: catalog.Catalog) -> None:
+def test_draining_target_gets_no_new_flow(current: catalog.Catalog) -> None:
     """Guards against new flows on a draining target, which break when it leaves."""
-    _update(known, 10, cookie_parts.target_row("i-0a", 4, state="draining"))
-    assert _names(known) == {"i-0b"}
-    cookie = next(t.cookie for t in known.targets if t.name == "i-0a")
-    assert known.by_cookie(cookie) is not None
+    _update(current, 10, cookie_parts.target_row("i-0a", 4, state="draining"))
+    assert _names(current) == {"i-0b"}
+    cookie = next(t.cookie for t in current.targets if t.name == "i-0a")
+    assert current.by_cookie(cookie) is not None
 
 
-def test_target_whose_entry_lapsed_still_gets_packets(known: catalog.Catalog) -> None:
+def test_target_whose_entry_lapsed_still_gets_packets(current: catalog.Catalog) -> None:
     """Guards against breaking open flows of a live target whose entry lapsed."""
-    cookie = next(t.cookie for t in known.targets if t.name == "i-0a")
-    _update(known, 10, cookie_parts.gone_row("i-0a", 4))
-    assert _names(known) == {"i-0b"}
-    assert known.by_cookie(cookie) is not None
-    known.tick(10 + catalog.FORMER_TARGET_RETENTION_MS, confirmed_ms=0)
-    assert known.by_cookie(cookie) is None
+    cookie = next(t.cookie for t in current.targets if t.name == "i-0a")
+    _update(current, 10, cookie_parts.gone_row("i-0a", 4))
+    assert _names(current) == {"i-0b"}
+    assert current.by_cookie(cookie) is not None
+    current.tick(10 + catalog.FORMER_TARGET_RETENTION_MS, confirmed_ms=0)
+    assert current.by_cookie(cookie) is None
 
 
 def test_entries_that_lapse_in_an_outage_stay_usable_for_two_seconds(
-    known: catalog.Catalog,
+    current: catalog.Catalog,
 ) -> None:
     """Guards against refusing a service when the store returns without its entries."""
     # Live targets restore their entries within two seconds.
-    _update(known, 5000, cookie_parts.gone_row("i-0a", 4), gap_ms=5000)
-    assert "i-0a" in _names(known)
-    known.tick(5000, confirmed_ms=5000)
-    known.tick(6000, confirmed_ms=6000)
-    assert "i-0a" in _names(known)
-    known.tick(7000, confirmed_ms=7000)
-    assert _names(known) == {"i-0b"}
+    _update(current, 5000, cookie_parts.gone_row("i-0a", 4), previous_age_ms=5000)
+    assert "i-0a" in _names(current)
+    current.tick(5000, confirmed_ms=5000)
+    current.tick(6000, confirmed_ms=6000)
+    assert "i-0a" in _names(current)
+    current.tick(7000, confirmed_ms=7000)
+    assert _names(current) == {"i-0b"}
 
 
 def test_entries_stay_usable_while_the_store_is_away_again(
-    known: catalog.Catalog,
+    current: catalog.Catalog,
 ) -> None:
     """Guards against refusing all callers when the store fails again at once.
 
     Targets can't restore their lapsed entries while the store is away.
     """
-    _update(known, 5000, cookie_parts.gone_row("i-0a", 4), gap_ms=5000)
-    known.tick(5250, confirmed_ms=5000)
+    _update(current, 5000, cookie_parts.gone_row("i-0a", 4), previous_age_ms=5000)
+    current.tick(5250, confirmed_ms=5000)
     for now_ms in range(5500, 12_000, 250):
-        known.tick(now_ms, confirmed_ms=5600)
-    assert "i-0a" in _names(known)
+        current.tick(now_ms, confirmed_ms=5600)
+    assert "i-0a" in _names(current)
     for now_ms in range(12_000, 14_250, 250):
-        known.tick(now_ms, confirmed_ms=now_ms - 100)
-    assert _names(known) == {"i-0b"}
+        current.tick(now_ms, confirmed_ms=now_ms - 100)
+    assert _names(current) == {"i-0b"}
 
 
 def test_restarted_target_still_gets_packets_for_its_old_cookie(
-    known: catalog.Catalog,
+    current: catalog.Catalog,
 ) -> None:
     """Guards against callers that wait because a restarted target can't reset flows."""
-    before = next(t for t in known.targets if t.name == "i-0a")
-    _update(known, 10, cookie_parts.target_row("i-0a", 4, born=2000))
-    assert known.by_cookie(before.cookie) == before
-    assert len(_names(known)) == 2
+    before = next(t for t in current.targets if t.name == "i-0a")
+    _update(current, 10, cookie_parts.target_row("i-0a", 4, born=2000))
+    assert current.by_cookie(before.cookie) == before
+    assert len(_names(current)) == 2
 
 
-def test_malformed_entry_removes_only_its_target(known: catalog.Catalog) -> None:
-    notes = _update(known, 10, source.Row("servers/i-0a", b"\xff", 4))
-    assert notes[0].event == "entry_refused"
-    assert _names(known) == {"i-0b"}
+def test_malformed_entry_removes_only_its_target(current: catalog.Catalog) -> None:
+    events = _update(current, 10, source.Row("servers/i-0a", b"\xff", 4))
+    assert events[0].event == "entry_refused"
+    assert _names(current) == {"i-0b"}
 
 
-def test_malformed_config_leaves_the_last_one_in_force(known: catalog.Catalog) -> None:
+def test_malformed_config_leaves_the_last_one_in_force(
+    current: catalog.Catalog,
+) -> None:
     """Guards against a half-written configuration that stops every service."""
-    _update(known, 10, source.Row("op/config", b"{}", 4))
-    assert known.config is not None
-    assert known.config.version == 1
+    _update(current, 10, source.Row("op/config", b"{}", 4))
+    assert current.config is not None
+    assert current.config.version == 1
 
 
 def test_only_the_older_of_two_targets_with_one_cookie_is_used(
@@ -103,13 +105,13 @@
 ) -> None:
     """Guards against packets that reach the wrong target when two hashes are equal."""
     monkeypatch.setattr(model.Target, "cookie", property(lambda _: 5))
-    known = cookie_parts.catalog_from(
+    current = cookie_parts.catalog_from(
         cookie_parts.config_row(1),
         cookie_parts.target_row("i-0a", 2, born=9),
         cookie_parts.target_row("i-0b", 3, born=8),
     )
-    assert _names(known) == {"i-0b"}
-    owner = known.by_cookie(5)
+    assert _names(current) == {"i-0b"}
+    owner = current.by_cookie(5)
     assert owner is not None
     assert owner.name == "i-0b"
 
@@ -124,44 +126,44 @@
 
 
 def test_target_whose_address_another_took_over_ends(
-    known: catalog.Catalog,
+    current: catalog.Catalog,
 ) -> None:
     """Guards against new flows on a crashed target whose entry is still present."""
     ended: list[str] = []
-    known.on_ended = lambda target: ended.append(target.name)
-    former = next(t for t in known.targets if t.name == "i-0a")
+    current.on_ended = lambda target: ended.append(target.name)
+    former = next(t for t in current.targets if t.name == "i-0a")
     row = cookie_parts.target_row("i-0c", 9, born=9000, address="10.128.0.10:8080")
-    _update(known, 10, row)
+    _update(current, 10, row)
     assert ended == ["i-0a"]
-    assert known.ended(former.cookie)
-    assert _names(known) == {"i-0b", "i-0c"}
+    assert current.ended(former.cookie)
+    assert _names(current) == {"i-0b", "i-0c"}
 
 
 def test_entry_of_a_service_without_route_ends_no_target(
-    known: catalog.Catalog,
+    current: catalog.Catalog,
 ) -> None:
     """Guards against a foreign entry that has the address of a live target."""
     ended: list[str] = []
-    known.on_ended = lambda target: ended.append(target.name)
+    current.on_ended = lambda target: ended.append(target.name)
     row = cookie_parts.target_row(
         "i-0c", 9, born=9000, address="10.128.0.10:8080", service="stray"
     )
-    _update(known, 10, row)
+    _update(current, 10, row)
     assert ended == []
-    assert "i-0a" in _names(known)
+    assert "i-0a" in _names(current)
 
 
 def test_ended_target_is_removed_after_the_retention_time(
-    known: catalog.Catalog,
+    current: catalog.Catalog,
 ) -> None:
-    former = next(t for t in known.targets if t.name == "i-0a")
+    former = next(t for t in current.targets if t.name == "i-0a")
     row = cookie_parts.target_row("i-0c", 9, born=9000, address="10.128.0.10:8080")
-    _update(known, 10, row)
-    _update(known, 10, cookie_parts.gone_row("i-0a", 10))
-    assert known.ended(former.cookie)
-    known.tick(10 + catalog.FORMER_TARGET_RETENTION_MS, confirmed_ms=0)
-    assert not known.ended(former.cookie)
-    assert known.by_cookie(former.cookie) is None
+    _update(current, 10, row)
+    _update(current, 10, cookie_parts.gone_row("i-0a", 10))
+    assert current.ended(former.cookie)
+    current.tick(10 + catalog.FORMER_TARGET_RETENTION_MS, confirmed_ms=0)
+    assert not current.ended(former.cookie)
+    assert current.by_cookie(former.cookie) is None
 
 
 def test_address_takeover_is_detected_when_the_config_is_the_last_row() -> None:
@@ -179,31 +181,31 @@
 
 
 def test_entries_that_lapse_together_in_a_short_outage_stay_usable(
-    known: catalog.Catalog,
+    current: catalog.Catalog,
 ) -> None:
     """Guards against refusing a whole service after the store failed for two seconds.
 
     The entries lapse, although the VM's rows are hardly older than in normal operation.
     """
     rows = (cookie_parts.gone_row("i-0a", 4), cookie_parts.gone_row("i-0b", 5))
-    known.update(3000, knowledge.Merge(rows, catalog.SHORT_OUTAGE_AGE_MS + 1))
-    assert _names(known) == {"i-0a", "i-0b"}
-    assert not known.settled
+    current.update(3000, knowledge.Merge(rows, catalog.SHORT_OUTAGE_AGE_MS + 1))
+    assert _names(current) == {"i-0a", "i-0b"}
+    assert not current.settled
 
 
 def test_entry_that_lapses_alone_after_a_short_outage_is_dropped(
-    known: catalog.Catalog,
+    current: catalog.Catalog,
 ) -> None:
     """Guards against flows on a crashed target when rows were 1.5 s old."""
-    _update(known, 3000, cookie_parts.gone_row("i-0a", 4), gap_ms=1500)
-    assert _names(known) == {"i-0b"}
-    assert known.settled
+    _update(current, 3000, cookie_parts.gone_row("i-0a", 4), previous_age_ms=1500)
+    assert _names(current) == {"i-0b"}
+    assert current.settled
 
 
 def test_entries_that_are_deleted_together_without_outage_are_dropped(
-    known: catalog.Catalog,
+    current: catalog.Catalog,
 ) -> None:
     """Guards against flows on two targets that operators removed at once."""
     rows = (cookie_parts.gone_row("i-0a", 4), cookie_parts.gone_row("i-0b", 5))
-    known.update(3000, knowledge.Merge(rows, 400))
-    assert _names(known) == set()
+    current.update(3000, knowledge.Merge(rows, 400))
+    assert _names(current) == set()
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -62,12 +62,12 @@
     turning.until(vm.ready, "readiness")
 
 
-def _await_datagram(taken: socket.socket) -> bytes:
+def _await_datagram(endpoint: socket.socket) -> bytes:
     got: list[bytes] = []
 
     def received() -> bool:
         try:
-            got.append(taken.recv(2000))
+            got.append(endpoint.recv(2000))
         except BlockingIOError:
             return False
         return True
@@ -114,7 +114,7 @@
 def test_vm_that_the_store_refuses_gets_changes_from_another_vm(
     start: Start, store: entry_parts.MemoryStore
 ) -> None:
-    """Guards against old rules at a VM that the store refuses while others get changes."""
+    """Guards against old rules at a VM that the store refuses to serve."""
     away = entry_parts.MemoryStore()
     away.down = True
     first = start(entry_parts.host(1), store)
@@ -198,10 +198,10 @@
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as made:
                 made.sendto(raw, (entry_parts.host(1), entry_parts.DATA_PORT))
         vm = start(entry_parts.host(1), store, waiting=waiting, waited_ms=1000)
-        taken = _await_datagram(server)
+        received = _await_datagram(server)
     # The last copy was sent because no earlier copy was answered, and no further copy
     # follows, so the VM forwards it.
-    assert cookie_parts.caller_port_of(taken) == 40_002
+    assert cookie_parts.caller_port_of(received) == 40_002
     lines: list[str] = []
     turning.until(lambda: lines.extend(vm.log()) or "flow_dropped_old" in str(lines))
 
--- a/tests/test_offer.py
+++ b/tests/test_offer.py
@@ -24,8 +24,8 @@
 
 
 def test_decoded_offer_equals_the_encoded_one(offers: offer.OfferEncoder) -> None:
-    taken = offer.decode(*offers.encode(0))
-    assert taken == offer.Offer(SENDER_STATE, source.Changes((ROW,), 5, 0))
+    decoded = offer.decode(*offers.encode(0))
+    assert decoded == offer.Offer(SENDER_STATE, source.Changes((ROW,), 5, 0))
 
 
 def test_age_counts_from_the_request(offers: offer.OfferEncoder) -> None:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -47,8 +47,8 @@
 
 
 def test_each_vm_receives_a_request_in_turn(others: peers.Peers) -> None:
-    asked = {host for _ in range(12) for host in others.next_hosts()}
-    assert len(asked) == 6
+    selected = {host for _ in range(12) for host in others.next_hosts()}
+    assert len(selected) == 6
 
 
 def test_added_vms_receive_a_request_first(others: peers.Peers) -> None:
@@ -164,12 +164,12 @@
     strategies.lists(strategies.tuples(strategies.integers(1, 3), _ENTRIES))
 )
 def test_sums_equal_those_of_the_latest_reports(
-    taken: list[tuple[int, list[reports.TargetReport]]],
+    recorded: list[tuple[int, list[reports.TargetReport]]],
 ) -> None:
     """Guards against sums that drift as reports are replaced and dropped."""
     registry = reports.Reports()
     last: dict[int, list[reports.TargetReport]] = {}
-    for vm, entries in taken:
+    for vm, entries in recorded:
         registry.record(0, f"vm{vm}", tuple(entries))
         last[vm] = entries
     held = [entry for entries in last.values() for entry in entries]
