--- a/eelgrasswick/cookie/exchange.py
+++ b/eelgrasswick/cookie/exchange.py
@@ -126,10 +126,10 @@
         """Return the requests that are due, and the VMs that are dead from now on."""
         self._expire_requests(now_ms)
         hosts = self._peers.next_hosts()
-        gone = [host for host in hosts if self._peers.record_request(host)]
-        for host in gone:
+        newly_dead = [host for host in hosts if self._peers.record_request(host)]
+        for host in newly_dead:
             self._reports.forget(host)
-        return [self._request(now_ms, host) for host in hosts], gone
+        return [self._request(now_ms, host) for host in hosts], newly_dead
 
     def update_messages(self, now_ms: int, merge: knowledge.Merge) -> list[Outgoing]:
         """Return the datagrams that push new rows to some other VMs."""
--- a/eelgrasswick/cookie/gossip.py
+++ b/eelgrasswick/cookie/gossip.py
@@ -109,10 +109,10 @@
         self._reports.others = len(self.peers)
         self._exchange.report = report
         self._exchange.reads_store = reads_store
-        requests, gone = self._exchange.due_requests(now_ms)
+        requests, newly_dead = self._exchange.due_requests(now_ms)
         for item in requests:
             self._send_peer(item)
-        for host in gone:
+        for host in newly_dead:
             self._log.write("peer_lost", peer=host, alive=len(self.peers))
         self.peers.expire(now_ms)
 
--- a/eelgrasswick/cookie/peers.py
+++ b/eelgrasswick/cookie/peers.py
@@ -4,6 +4,9 @@
 that receives a new row sends it to a few others at once (push). Push and pull
 together reach all VMs in a time that grows with the logarithm of their number. The
 cost for each VM does not grow, and the pull repairs what the push loses.
+
+A round is one selection of hosts that receive a request. A cycle is the sequence of
+rounds in which each registered VM gets its turn once.
 """
 
 import heapq
@@ -15,22 +18,22 @@
 # sends a message.
 MAX_UNANSWERED: typing.Final = 2
 # A VM without contact for this long expires, because IP addresses are reused. In a
-# large fleet each VM makes contact only once or twice per round of requests to all
-# VMs, so the time is never shorter than EXPIRY_ROUNDS of these rounds.
+# large fleet each VM makes contact only once or twice per cycle of requests, so the
+# time is never shorter than EXPIRY_CYCLES cycles.
 EXPIRY_MS: typing.Final = 30_000
-EXPIRY_ROUNDS: typing.Final = 2
+EXPIRY_CYCLES: typing.Final = 2
 # Number of members that each message carries.
 SAMPLE_SIZE: typing.Final = 6
-# Each round sends a request to one of this many VMs with the latest confirmation.
+# In each round one of this many VMs with the latest confirmation gets a request.
 # One in four requests of a zone's 20 VMs, 20 a second, then reaches the VM that
 # watches the store.
 FRESHEST_CANDIDATES: typing.Final = 4
 # At most this many newly added VMs receive a request in one round. With this
 # number, all VMs of a fleet that starts at once find each other in about three
 # seconds.
-MAX_NEW_HOSTS_PER_REQUEST: typing.Final = 4
-# Share of the VMs treated as dead that each round of requests includes. A VM that
-# returns usually makes contact earlier, through its own requests.
+MAX_NEW_HOSTS_PER_ROUND: typing.Final = 4
+# Share of the VMs treated as dead that a cycle includes. A VM that returns usually
+# makes contact earlier, through its own requests.
 RETRY_SHARE: typing.Final = 0.25
 
 
@@ -57,10 +60,10 @@
     """
 
     __slots__ = (
+        "added_ms",
         "confirmed_ms",
-        "last_contact_ms",
         "host",
-        "added_ms",
+        "last_contact_ms",
         "reads_store",
         "unanswered",
         "zone",
@@ -102,7 +105,7 @@
         self._zone = zone
         self._rng = rng
         self._peers: dict[str, Peer] = {}
-        self._round: list[str] = []
+        self._cycle: list[str] = []
         self._request_rounds = 0
         self._started_ms: int | None = None
 
@@ -117,7 +120,7 @@
                 self._peers[host] = Peer(host, now_ms)
                 # A new host receives the next request, so that a VM that starts
                 # finds the others soon. A VM without peers calls the store itself.
-                self._round.insert(0, host)
+                self._cycle.insert(0, host)
 
     def add_members(self, now_ms: int, members: typing.Iterable[Member]) -> None:
         """Add VMs that another VM lists as alive."""
@@ -159,32 +162,32 @@
     def next_hosts(self) -> list[str]:
         """Return the next hosts to send a request to.
 
-        The first host is the next of a round in shuffled order, which detects live
-        and dead VMs. Rounds alone would need seconds to spread a confirmation
-        through the fleet. The second host is one of those with the latest
-        confirmation. Requests to the very latest alone would make all VMs send
-        theirs to the VM that watches the store.
+        The first hosts are the next of a cycle in shuffled order, which detects live
+        and dead VMs. The cycle alone would need seconds to spread a confirmation
+        through the fleet. The last host is one of those with the latest confirmation.
+        If every VM sent its requests only to the VM with the very latest
+        confirmation, all would go to the VM that watches the store.
         """
         self._request_rounds += 1
-        chosen = self._next_in_round()
+        chosen = self._next_in_cycle()
         fresh = self._sample_hosts(self._freshest_hosts(), 1)
         return chosen + [host for host in fresh if host not in chosen]
 
-    def _next_in_round(self) -> list[str]:
-        if not self._round:
-            self._round = [
+    def _next_in_cycle(self) -> list[str]:
+        if not self._cycle:
+            self._cycle = [
                 peer.host
                 for peer in self._peers.values()
                 if peer.alive or self._rng.random() < RETRY_SHARE or not len(self)
             ]
-            self._rng.shuffle(self._round)
+            self._rng.shuffle(self._cycle)
         chosen: list[str] = []
-        while self._round and len(chosen) < MAX_NEW_HOSTS_PER_REQUEST:
-            peer = self._peers.get(self._round[0])
+        while self._cycle and len(chosen) < MAX_NEW_HOSTS_PER_ROUND:
+            peer = self._peers.get(self._cycle[0])
             new = peer is not None and not peer.last_contact_ms and not peer.unanswered
             if chosen and not new:
                 break
-            del self._round[0]
+            del self._cycle[0]
             if peer is not None:
                 chosen.append(peer.host)
         return chosen
@@ -241,8 +244,8 @@
         """Remove the VMs whose last contact is too long ago."""
         if self._started_ms is None:
             self._started_ms = now_ms
-        turn_ms = (now_ms - self._started_ms) / max(1, self._request_rounds)
-        span_ms = max(EXPIRY_MS, EXPIRY_ROUNDS * turn_ms * len(self._peers))
+        round_ms = (now_ms - self._started_ms) / max(1, self._request_rounds)
+        span_ms = max(EXPIRY_MS, EXPIRY_CYCLES * round_ms * len(self._peers))
         for peer in list(self._peers.values()):
             if now_ms - max(peer.last_contact_ms, peer.added_ms) > span_ms:
                 del self._peers[peer.host]
--- a/eelgrasswick/cookie/watch_policy.py
+++ b/eelgrasswick/cookie/watch_policy.py
@@ -27,8 +27,8 @@
 MAX_STAGGER_STEPS: typing.Final = 8
 # A VM that took over keeps watching for this long, until the watcher may be back.
 TAKEOVER_DURATION_MS: typing.Final = 8000
-# After this time a starting VM has found the others of its zone (62 VMs, in virtual
-# time). Before that, many VMs would compute rank 0 for themselves.
+# After this time a starting VM of a fleet of 62 has found the others of its zone.
+# Before that, many VMs would compute rank 0 for themselves.
 SETTLE_MS: typing.Final = 2000
 MIN_RETRY_MS: typing.Final = 100
 MAX_RETRY_MS: typing.Final = 500
