--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -124,7 +124,7 @@
         self._gossip.peers.add_hosts(now_ms, self._settings.fleet.seeds)
         if self._members:
             self._gossip.peers.add_members(now_ms, self._members)
-            self._store_watch.settle(now_ms)
+            self._store_watch.mark_rank_reliable(now_ms)
         self._listen()
         self._open_data_port()
         self._start_loop(self._check, CHECK_INTERVAL_S)
--- a/eelgrasswick/cookie/store_watch.py
+++ b/eelgrasswick/cookie/store_watch.py
@@ -49,9 +49,9 @@
         self._needs_listing = not replica.revision
         self._rank = 0
 
-    def settle(self, now_ms: int) -> None:
+    def mark_rank_reliable(self, now_ms: int) -> None:
         """Record that this VM's rank is reliable from the start."""
-        self._policy.settle(now_ms)
+        self._policy.mark_rank_reliable(now_ms)
 
     @property
     def store_responds(self) -> bool:
--- a/eelgrasswick/cookie/watch_policy.py
+++ b/eelgrasswick/cookie/watch_policy.py
@@ -29,7 +29,7 @@
 TAKEOVER_DURATION_MS: typing.Final = 8000
 # After this time a starting VM of a fleet of 62 has found the others of its zone.
 # Before that, many VMs would compute rank 0 for themselves.
-SETTLE_MS: typing.Final = 2000
+RANK_SETTLE_MS: typing.Final = 2000
 MIN_RETRY_MS: typing.Final = 100
 MAX_RETRY_MS: typing.Final = 500
 STANDBY_RETRY_MS: typing.Final = 2500
@@ -50,7 +50,7 @@
         self._rank_reliable_ms: int | None = None
         self._has_succeeded = False
 
-    def settle(self, now_ms: int) -> None:
+    def mark_rank_reliable(self, now_ms: int) -> None:
         """Record that this VM has found the others of its zone, and so its rank."""
         self._rank_reliable_ms = now_ms
 
@@ -63,7 +63,7 @@
             rank: This VM's rank among the VMs of its zone.
         """
         if self._rank_reliable_ms is None:
-            self._rank_reliable_ms = now_ms + SETTLE_MS
+            self._rank_reliable_ms = now_ms + RANK_SETTLE_MS
         if now_ms < self._next_call_ms:
             return False
         settled = now_ms >= self._rank_reliable_ms
@@ -76,7 +76,7 @@
         self.failures = 0
         self._next_call_ms = now_ms + WATCH_GAP_MS
         if self._rank_reliable_ms is None:
-            self._rank_reliable_ms = now_ms + SETTLE_MS
+            self._rank_reliable_ms = now_ms + RANK_SETTLE_MS
         if not self._has_succeeded:
             # The first listing of a starting VM does not count as a takeover.
             self._has_succeeded = True
--- a/tests/test_watch_policy.py
+++ b/tests/test_watch_policy.py
@@ -15,8 +15,8 @@
 
 def test_only_rank_0_watches(policy: watch_policy.WatchPolicy) -> None:
     policy.record_success(0, rank=0)
-    assert policy.due(watch_policy.SETTLE_MS, 10, rank=0)
-    assert not policy.due(watch_policy.SETTLE_MS, 10, rank=1)
+    assert policy.due(watch_policy.RANK_SETTLE_MS, 10, rank=0)
+    assert not policy.due(watch_policy.RANK_SETTLE_MS, 10, rank=1)
 
 
 def test_starting_vm_does_not_watch_before_its_rank_is_reliable(
@@ -36,7 +36,7 @@
     policy: watch_policy.WatchPolicy,
 ) -> None:
     """Guards against a zone without a watcher while its new rank 0 starts."""
-    policy.settle(0)
+    policy.mark_rank_reliable(0)
     assert policy.due(0, 10, rank=0)
     assert not policy.due(0, 10, rank=1)
 
@@ -46,7 +46,7 @@
 ) -> None:
     """Guards against a fleet without a watcher when all VMs start at once."""
     assert not policy.due(0, 10, rank=0)
-    assert policy.due(watch_policy.SETTLE_MS, 10, rank=0)
+    assert policy.due(watch_policy.RANK_SETTLE_MS, 10, rank=0)
 
 
 def test_changes_that_come_close_together_cost_one_call(
