--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -91,7 +91,7 @@
 
 
 def test_live_vms_of_a_large_fleet_do_not_expire() -> None:
-    """Guards against expiry of live VMs when a round exceeds the expiry time."""
+    """Guards against expiry of live VMs when a cycle of requests takes too long."""
     made = peers.Peers("10.0.0.1", "z1", random.Random(1))
     hosts = [f"10.1.{number // 250}.{number % 250}" for number in range(400)]
     for host in hosts:
@@ -135,7 +135,7 @@
     assert registry.count_silent_reports(reports.SILENCE_VALID_MS + 1, 7) == 0
 
 
-def test_report_of_a_dead_or_silent_vm_does_not_count() -> None:
+def test_dead_vm_or_expired_report_does_not_count() -> None:
     """Guards against counting a killed VM's flows twice, as other VMs have them now."""
     registry = reports.Reports()
     registry.record(0, "a", (reports.TargetReport(7, 3, 20, False),))
