--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -234,7 +234,9 @@
 
     def _exit_if_done(self, now_ms: int, requested_ms: int) -> None:
         grace_ms = int(self._settings.stop.grace_s * 1000)
-        if stopping.may_exit(now_ms, requested_ms, self._carrier.last_packet_ms, grace_ms):
+        if stopping.may_exit(
+            now_ms, requested_ms, self._carrier.last_packet_ms, grace_ms
+        ):
             self._log.write("stopped", after_ms=now_ms - requested_ms)
             self._log.flush()
             self._reactor.stop()
