--- a/eelgrasswick/soak/__main__.py
+++ b/eelgrasswick/soak/__main__.py
@@ -56,7 +56,7 @@
 async def _one(
     reactor: typing.Any, options: run.Options, keep: pathlib.Path | None
 ) -> bool:
-    with layout.reserved() as block, tempfile.TemporaryDirectory() as name:
+    with layout.reserve_block() as block, tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         verdict = await run.Run(reactor, block, options, folder).play()
         print(verdict.line, flush=True)
--- a/eelgrasswick/soak/history.py
+++ b/eelgrasswick/soak/history.py
@@ -244,7 +244,7 @@
             opened_s[item.who] = collections.deque()
         if item.kind is not Kind.OPENED or item.detail != layout.COLD_SERVICE:
             continue
-        if item.at_s - begun_s.get(item.who, 0.0) > layout.COLD_S:
+        if item.at_s - begun_s.get(item.who, 0.0) > layout.COLD_START_S:
             continue
         recent = opened_s[item.who]
         recent.append(item.at_s)
--- a/eelgrasswick/soak/layout.py
+++ b/eelgrasswick/soak/layout.py
@@ -13,15 +13,15 @@
 METRICS_PORT: typing.Final = 20164
 STORE_PORT: typing.Final = 20179
 TARGET_PORT: typing.Final = 20180
-RESERVED_PORT: typing.Final = 20160
+RESERVATION_PORT: typing.Final = 20160
 SERVICE_IP: typing.Final = "198.18.0.1"
-SEEDS: typing.Final = 3
+SEED_VMS: typing.Final = 3
 # Seconds for which servers of this service are cold after their start, and new flows a
 # second that they bear then; with the settings' defaults five may come in any second.
 COLD_SERVICE: typing.Final = "desk"
-COLD_S: typing.Final = 1.0
+COLD_START_S: typing.Final = 1.0
 COLD_FLOWS_PER_S: typing.Final = 0.0
-BLOCKS: typing.Final = range(130, 230)
+ADDRESS_BLOCKS: typing.Final = range(130, 230)
 
 
 class Layout(typing.NamedTuple):
@@ -40,56 +40,56 @@
     callers: int
 
     @property
-    def store(self) -> str:
+    def store_address(self) -> str:
         """Address of the store."""
         return f"127.{self.block}.0.3:{STORE_PORT}"
 
-    def proxy(self, number: int) -> str:
+    def store_proxy_ip(self, number: int) -> str:
         """IP address of the proxy between a VM and the store."""
         return f"127.{self.block}.2.{number + 1}"
 
-    def vm(self, number: int) -> str:
+    def vm_ip(self, number: int) -> str:
         """IP address of an entry VM."""
         return f"127.{self.block}.1.{number + 1}"
 
-    def target(self, number: int) -> str:
+    def target_ip(self, number: int) -> str:
         """IP address of a target."""
         return f"127.{self.block}.3.{number + 1}"
 
-    def caller(self, number: int) -> str:
+    def caller_ip(self, number: int) -> str:
         """IP address of a caller."""
         return f"127.{self.block}.4.{number + 1}"
 
-    def ini(self, number: int, known_as: typing.Sequence[str]) -> str:
+    def vm_settings(self, number: int, known_as: typing.Sequence[str]) -> str:
         """Return the settings of an entry VM.
 
         Args:
             number: Which one.
             known_as: Addresses that the VMs know each other by.
         """
-        host = self.vm(number)
-        seeds = ", ".join(f"{seed}:1" for seed in known_as[:SEEDS])
+        host = self.vm_ip(number)
+        seeds = ", ".join(f"{seed}:1" for seed in known_as[:SEED_VMS])
         return (
             f"[vm]\nname = vm{number}\nzone = {ZONES[number % len(ZONES)]}\n"
             f"data = {host}:{DATA_PORT}\nready = {host}:{READY_PORT}\n"
             f"peer = {host}:{PEER_PORT}\nmetrics = {host}:{METRICS_PORT}\n"
             f"[fleet]\nseeds = {seeds}\n"
-            f"[store]\naddress = {self.proxy(number)}:{STORE_PORT}\n"
+            f"[store]\naddress = {self.store_proxy_ip(number)}:{STORE_PORT}\n"
             "[log]\nlines_per_s = 200\n"
         )
 
 
 @contextlib.contextmanager
-def reserved() -> typing.Iterator[int]:
+def reserve_block() -> typing.Iterator[int]:
     """Hold a block of loopback addresses that no other run uses.
 
     Raises:
         errors.SettingsInvalidError: All blocks are in use.
     """
-    for block in BLOCKS:
+    for block in ADDRESS_BLOCKS:
         with contextlib.closing(socket.socket()) as held:
             try:
-                held.bind((f"127.{block}.0.1", RESERVED_PORT))
+                held.bind((f"127.{block}.0.1", RESERVATION_PORT))
             except OSError:
                 continue
             yield block
--- a/eelgrasswick/soak/operator.py
+++ b/eelgrasswick/soak/operator.py
@@ -13,7 +13,7 @@
 FIRST_ADDED: typing.Final = 500
 _COLD: typing.Final = {
     "name": layout.COLD_SERVICE,
-    "cold_start_s": layout.COLD_S,
+    "cold_start_s": layout.COLD_START_S,
     "cold_per_s": layout.COLD_FLOWS_PER_S,
 }
 
--- a/eelgrasswick/soak/peer_links.py
+++ b/eelgrasswick/soak/peer_links.py
@@ -67,7 +67,7 @@
         self.ports: list[typing.Any] = []
         self._reactor = reactor
         self._rng = rng
-        self._hosts = [placed.vm(number) for number in range(placed.vms)]
+        self._hosts = [placed.vm_ip(number) for number in range(placed.vms)]
         self._numbers = {host: number for number, host in enumerate(self._hosts)}
         self._ends: list[_End] = []
         self.aliases = aliases(placed.block, self._hosts)
--- a/eelgrasswick/soak/run.py
+++ b/eelgrasswick/soak/run.py
@@ -107,7 +107,7 @@
         self._store: processes.Process | None = None
         self._proxies: list[proxy.Proxy] = []
         self._operator = operator.Operator(
-            reactor, self._layout.store, self._events.append
+            reactor, self._layout.store_address, self._events.append
         )
         self._actions = actions.Actions(
             reactor,
@@ -141,12 +141,12 @@
         return self._verdict()
 
     async def _start(self) -> None:
-        store_host, _, store_port = self._layout.store.rpartition(":")
-        self._store = processes.store(self._layout.store, self._folder)
+        store_host, _, store_port = self._layout.store_address.rpartition(":")
+        self._store = processes.store(self._layout.store_address, self._folder)
         for number in range(self._options.vms):
             made = proxy.Proxy(self._reactor, store_host, int(store_port))
             self._proxies.append(made)
-            host = self._layout.proxy(number)
+            host = self._layout.store_proxy_ip(number)
             port = self._reactor.listenTCP(layout.STORE_PORT, made, interface=host)
             self._ports.append(port)
         await self._until(self._operator.configure)
@@ -154,10 +154,10 @@
             settings = self._target_settings(number)
             self._targets.append(processes.target(settings, self._folder))
         for number in range(self._options.vms):
-            ini = self._layout.ini(number, self._peers.aliases)
+            ini = self._layout.vm_settings(number, self._peers.aliases)
             self._vms.append(processes.entry_vm(f"vm{number}", ini, self._folder))
         for number in range(self._layout.callers):
-            self._add_caller(self._layout.caller(number))
+            self._add_caller(self._layout.caller_ip(number))
         await self._until(self._all_ready)
 
     def _add_caller(self, host: str) -> None:
@@ -171,10 +171,10 @@
             "name": f"i-{number + 16:x}",
             "service": "vault" if number % 3 == 2 else "desk",
             "zone": layout.ZONES[number // 3 % len(layout.ZONES)],
-            "host": self._layout.target(number),
+            "host": self._layout.target_ip(number),
             "port": layout.TARGET_PORT,
             "caller_port": layout.DATA_PORT,
-            "store": self._layout.store,
+            "store": self._layout.store_address,
             "events": str(self._folder / f"target{number}.events"),
             "slots": TARGET_SLOTS,
             "work_ms": 20 if number % 2 else 35,
@@ -235,7 +235,7 @@
         defer.ensureDeferred(self._look_who_is_ready())
 
     async def _look_who_is_ready(self) -> int:
-        hosts = [self._layout.vm(number) for number in range(self._options.vms)]
+        hosts = [self._layout.vm_ip(number) for number in range(self._options.vms)]
         answers = await defer.gatherResults([self._ready(host) for host in hosts])
         ready = [host for host, yes in zip(hosts, answers, strict=True) if yes]
         self._fabric.rotation = ready if 2 * len(ready) >= len(hosts) else hosts
--- a/eelgrasswick/soak/target.py
+++ b/eelgrasswick/soak/target.py
@@ -130,7 +130,7 @@
         if self._settings["service"] != layout.COLD_SERVICE:
             return 0
         age_ms = time.time_ns() // 1_000_000 - self.born_ms
-        return max(0, int(1000 * layout.COLD_S) - age_ms)
+        return max(0, int(1000 * layout.COLD_START_S) - age_ms)
 
     def note_life(self, kind: history.Kind) -> None:
         """Write that this incarnation begins, drains or ends."""
--- a/tests/entry_parts.py
+++ b/tests/entry_parts.py
@@ -22,7 +22,7 @@
 
 # Held until this process ends, so that tests in other processes take another.
 _HELD: typing.Final = contextlib.ExitStack()
-_BLOCK: typing.Final = _HELD.enter_context(layout.reserved())
+_BLOCK: typing.Final = _HELD.enter_context(layout.reserve_block())
 
 
 def host(number: int) -> str:
