--- a/eelgrasswick/soak/caller.py
+++ b/eelgrasswick/soak/caller.py
@@ -130,7 +130,7 @@
     def _answered(self, now_s: float) -> None:
         if len(self._got) < self._plan.answer_bytes:
             return
-        self._note(history.Kind.ANSWERED, history.digest(self._got))
+        self._note(history.Kind.ANSWERED, history.response_digest(self._got))
         self._sent += len(self._line)
         self._line = b""
         self._request = ""
--- a/eelgrasswick/soak/history.py
+++ b/eelgrasswick/soak/history.py
@@ -81,7 +81,7 @@
     sent_s: float = 0.0
 
 
-class Breach(typing.NamedTuple):
+class Violation(typing.NamedTuple):
     """A promise that a run broke.
 
     Attributes:
@@ -95,13 +95,13 @@
     detail: str
 
 
-def answer_to(request: str, size_bytes: int) -> bytes:
+def expected_response(request: str, size_bytes: int) -> bytes:
     """Return the one right answer to a request."""
     seed = hashlib.blake2b(request.encode(), digest_size=32).digest()
     return (seed * (size_bytes // len(seed) + 1))[:size_bytes]
 
 
-def digest(answer: bytes) -> str:
+def response_digest(answer: bytes) -> str:
     """Return a short digest of an answer."""
     return hashlib.blake2b(answer, digest_size=8).hexdigest()
 
@@ -125,7 +125,7 @@
     return events
 
 
-def breaches(events: typing.Sequence[Event]) -> list[Breach]:
+def check_invariants(events: typing.Sequence[Event]) -> list[Violation]:
     """Check all promises that hold at any time.
 
     Args:
@@ -145,7 +145,7 @@
     return [breach for check in checks for breach in check(ordered)]
 
 
-def served(events: typing.Sequence[Event], end_s: float) -> float:
+def served_share(events: typing.Sequence[Event], end_s: float) -> float:
     """Return the part of all requests that was answered at the end of a run.
 
     Args:
@@ -163,38 +163,38 @@
     return answered / len(asked) if asked else 0.0
 
 
-def recovery(events: typing.Sequence[Event], end_s: float) -> list[Breach]:
+def check_recovery(events: typing.Sequence[Event], end_s: float) -> list[Violation]:
     """Check that the fleet serves again once all faults are over."""
-    part = served(events, end_s)
+    part = served_share(events, end_s)
     if part >= SERVED:
         return []
     last = max(events, key=lambda item: item.at_s)
-    return [Breach("recovery", last, f"only {part:.2f} are answered at the end")]
+    return [Violation("recovery", last, f"only {part:.2f} are answered at the end")]
 
 
-def _once(events: typing.Sequence[Event]) -> typing.Iterator[Breach]:
+def _once(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
     ran: dict[str, Event] = {}
     for item in events:
         if item.kind is not Kind.RAN:
             continue
         if item.request in ran:
-            yield Breach("at most once", item, f"ran before: {ran[item.request]}")
+            yield Violation("at most once", item, f"ran before: {ran[item.request]}")
         ran[item.request] = item
 
 
-def _whole(events: typing.Sequence[Event]) -> typing.Iterator[Breach]:
+def _whole(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
     ran = {item.request: item for item in events if item.kind is Kind.RAN}
     for item in events:
         if item.kind is not Kind.ANSWERED:
             continue
         source = ran.get(item.request)
         if source is None:
-            yield Breach("own answer", item, "no target ran it")
+            yield Violation("own answer", item, "no target ran it")
         elif source.detail != item.detail:
-            yield Breach("whole answer", item, f"the target sent {source.detail}")
+            yield Violation("whole answer", item, f"the target sent {source.detail}")
 
 
-def _right_service(events: typing.Sequence[Event]) -> typing.Iterator[Breach]:
+def _right_service(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
     services = {
         item.flow: item.detail for item in events if item.kind is Kind.ROUTE_ADDED
     }
@@ -202,12 +202,12 @@
         if item.kind is Kind.OPENED:
             port = item.flow.partition(">")[2]
             if services.get(port) != item.detail:
-                yield Breach(
+                yield Violation(
                     "right service", item, f"the route is {services.get(port)}"
                 )
 
 
-def _drained(events: typing.Sequence[Event]) -> typing.Iterator[Breach]:
+def _drained(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
     since_s: dict[str, float] = {}
     for item in events:
         if item.kind is Kind.DRAINED:
@@ -217,10 +217,10 @@
         elif item.kind is Kind.OPENED and item.who in since_s:
             late_s = item.at_s - since_s[item.who]
             if late_s > DRAIN_S + SLACK_S:
-                yield Breach("drain", item, f"{late_s:.2f} s after it said so")
+                yield Violation("drain", item, f"{late_s:.2f} s after it said so")
 
 
-def _evacuated(events: typing.Sequence[Event]) -> typing.Iterator[Breach]:
+def _evacuated(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
     zones = {item.who: item.detail for item in events if item.kind is Kind.BEGUN}
     since_s: dict[str, float] = {}
     for item in events:
@@ -232,10 +232,10 @@
             zone = zones.get(item.who, "")
             late_s = item.at_s - since_s.get(zone, item.at_s)
             if late_s > EVACUATION_S + SLACK_S:
-                yield Breach("evacuation", item, f"{zone}, {late_s:.2f} s after it")
+                yield Violation("evacuation", item, f"{zone}, {late_s:.2f} s after it")
 
 
-def _cold(events: typing.Sequence[Event]) -> typing.Iterator[Breach]:
+def _cold(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
     begun_s: dict[str, float] = {}
     opened_s: dict[str, collections.deque[float]] = {}
     for item in events:
@@ -251,10 +251,10 @@
         while item.at_s - recent[0] >= COLD_SPAN_S:
             recent.popleft()
         if len(recent) > COLD_FLOWS:
-            yield Breach("cold", item, f"{len(recent)} flows in a second")
+            yield Violation("cold", item, f"{len(recent)} flows in a second")
 
 
-def _config(events: typing.Sequence[Event]) -> typing.Iterator[Breach]:
+def _config(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
     dropped_s: dict[str, float] = {}
     added_s: dict[str, float] = {}
     for item in events:
@@ -267,14 +267,14 @@
         if item.kind is Kind.OPENED and port in dropped_s:
             late_s = item.sent_s - dropped_s[port]
             if late_s > CONFIG_S + SLACK_S:
-                yield Breach("config", item, f"dropped {late_s:.2f} s before")
+                yield Violation("config", item, f"dropped {late_s:.2f} s before")
         if item.kind is Kind.REFUSED and port in added_s and port not in dropped_s:
             late_s = item.sent_s - added_s[port]
             if late_s > CONFIG_S + SLACK_S:
-                yield Breach("config", item, f"added {late_s:.2f} s before")
+                yield Violation("config", item, f"added {late_s:.2f} s before")
 
 
-def _open_flows(events: typing.Sequence[Event]) -> typing.Iterator[Breach]:
+def _open_flows(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
     lives: dict[str, list[tuple[float, float]]] = collections.defaultdict(list)
     for item in events:
         if item.kind is Kind.BEGUN:
@@ -300,7 +300,7 @@
             continue
         source = opened.get(item.flow)
         if source is not None and _alive(lives[source.who], source.at_s, item.at_s):
-            yield Breach("open flow", item, f"its target {source.who} lives")
+            yield Violation("open flow", item, f"its target {source.who} lives")
 
 
 def _paused(pauses_s: typing.Sequence[float], at_s: float) -> bool:
--- a/eelgrasswick/soak/run.py
+++ b/eelgrasswick/soak/run.py
@@ -71,7 +71,7 @@
     reset: int
     refused: int
     served_at_end: float
-    breaches: tuple[history.Breach, ...]
+    breaches: tuple[history.Violation, ...]
 
     @property
     def passed(self) -> bool:
@@ -290,7 +290,7 @@
             kind: sum(item.kind is kind for item in events) for kind in history.Kind
         }
         end_s = self._begun_s + self._options.duration_s
-        served = history.served(events, end_s)
+        served = history.served_share(events, end_s)
         return Verdict(
             self._options.seed,
             self._flows,
@@ -299,5 +299,7 @@
             count[history.Kind.RESET],
             count[history.Kind.REFUSED],
             round(served, 3),
-            tuple(history.breaches(events) + history.recovery(events, end_s)),
+            tuple(
+                history.check_invariants(events) + history.check_recovery(events, end_s)
+            ),
         )
--- a/eelgrasswick/soak/target.py
+++ b/eelgrasswick/soak/target.py
@@ -175,12 +175,12 @@
         while self._queue and self._busy < self._settings["slots"]:
             self._busy += 1
             flow, request, size_bytes = self._queue.popleft()
-            answer = history.answer_to(request, size_bytes)
+            answer = history.expected_response(request, size_bytes)
             self._note(
                 history.Kind.RAN,
                 flow.first,
                 request=request,
-                detail=history.digest(answer),
+                detail=history.response_digest(answer),
             )
             delay_s = self._settings["work_ms"] / 1000 * self._rng.uniform(0.5, 1.5)
             typing.cast(typing.Any, reactor).callLater(
--- a/tests/test_soak_history.py
+++ b/tests/test_soak_history.py
@@ -9,7 +9,7 @@
 from eelgrasswick.soak import faults, history
 
 K = history.Kind
-ANSWER = history.digest(history.answer_to("r1", 100))
+ANSWER = history.response_digest(history.expected_response("r1", 100))
 
 
 def _event(at_s: float, kind: history.Kind, **fields: typing.Any) -> history.Event:
@@ -30,12 +30,12 @@
 
 
 def _promises(events: list[history.Event]) -> set[str]:
-    return {breach.promise for breach in history.breaches(events)}
+    return {breach.promise for breach in history.check_invariants(events)}
 
 
 def test_good_run_breaks_nothing(good: list[history.Event]) -> None:
     assert _promises(good) == set()
-    assert history.recovery(good, 6) == []
+    assert history.check_recovery(good, 6) == []
 
 
 def test_request_that_ran_twice(good: list[history.Event]) -> None:
@@ -126,7 +126,7 @@
 
 def test_fleet_that_does_not_come_back(good: list[history.Event]) -> None:
     lost = [_event(6, K.LOST, who="c", flow=f"{n}>443") for n in range(5)]
-    assert [item.promise for item in history.recovery([*good, *lost], 6)] == [
+    assert [item.promise for item in history.check_recovery([*good, *lost], 6)] == [
         "recovery"
     ]
 
