--- a/eelgrasswick/soak/actions.py
+++ b/eelgrasswick/soak/actions.py
@@ -168,7 +168,7 @@
         zone = layout.ZONES[int(item.pick * len(layout.ZONES))]
         if not self._parts.operator.evacuate(zone):
             return
-        for_s = history.EVACUATION_S + item.for_s
+        for_s = history.EVACUATION_LIMIT_S + item.for_s
         self._reactor.callLater(for_s, self._parts.operator.take_back, zone)
 
     def peers_lose(self, item: faults.Fault) -> None:
--- a/eelgrasswick/soak/caller.py
+++ b/eelgrasswick/soak/caller.py
@@ -138,7 +138,7 @@
 
     def _reset(self, by_vm: bool) -> None:
         kind = history.Kind.RESET if self._open else history.Kind.REFUSED
-        self._end(kind, history.BY_VM if by_vm else history.BY_TARGET)
+        self._end(kind, history.RESET_BY_VM if by_vm else history.RESET_BY_TARGET)
 
     def _end(self, kind: history.Kind, detail: str) -> None:
         self.done = True
--- a/eelgrasswick/soak/history.py
+++ b/eelgrasswick/soak/history.py
@@ -12,27 +12,27 @@
 # The operators' bounds: seconds after which a draining target gets no new flow
 # and a changed configuration is in force everywhere, with what loopback and
 # busy machines add.
-DRAIN_S: typing.Final = 3.0
-CONFIG_S: typing.Final = 3.0
+DRAIN_LIMIT_S: typing.Final = 3.0
+CONFIG_LIMIT_S: typing.Final = 3.0
 # The users' bound from which an evacuated zone gets no new flow.
-EVACUATION_S: typing.Final = 5.0
+EVACUATION_LIMIT_S: typing.Final = 5.0
 # New flows that a target may get in any second while it is cold.
-COLD_FLOWS: typing.Final = 5
-COLD_SPAN_S: typing.Final = 1.0
-SLACK_S: typing.Final = 0.7
+MAX_COLD_FLOWS: typing.Final = 5
+COLD_WINDOW_S: typing.Final = 1.0
+TOLERANCE_S: typing.Final = 0.7
 # Seconds at the end of a run without new faults, and the part of what is asked
 # in them that must be answered.
-LAST_S: typing.Final = 4.0
-SERVED: typing.Final = 0.5
+RECOVERY_WINDOW_S: typing.Final = 4.0
+MIN_SERVED_SHARE: typing.Final = 0.5
 
 
 # Who sent a reset.
-BY_VM: typing.Final = "by a VM"
-BY_TARGET: typing.Final = "by a target"
-PAUSE: typing.Final = "target_pause"
+RESET_BY_VM: typing.Final = "by a VM"
+RESET_BY_TARGET: typing.Final = "by a target"
+PAUSE_FAULT: typing.Final = "target_pause"
 # A pause lasts up to 4 s, and for 4 s after it what the target does late does
 # not count.
-PAUSED_S: typing.Final = 8.0
+PAUSE_EFFECT_S: typing.Final = 8.0
 
 
 class Kind(enum.Enum):
@@ -54,7 +54,9 @@
     FAULT = "fault"
 
 
-ENDS: typing.Final = frozenset({Kind.ANSWERED, Kind.LOST, Kind.RESET, Kind.REFUSED})
+REQUEST_ENDS: typing.Final = frozenset(
+    {Kind.ANSWERED, Kind.LOST, Kind.RESET, Kind.REFUSED}
+)
 
 
 class Event(typing.NamedTuple):
@@ -152,12 +154,12 @@
         events: Everything that was seen.
         end_s: When the load ended; the seconds before and after it count.
     """
-    last = [item for item in events if item.at_s >= end_s - LAST_S]
+    last = [item for item in events if item.at_s >= end_s - RECOVERY_WINDOW_S]
     dropped = {item.flow for item in events if item.kind is Kind.ROUTE_DROPPED}
     asked = [
         item
         for item in last
-        if item.kind in ENDS and item.flow.partition(">")[2] not in dropped
+        if item.kind in REQUEST_ENDS and item.flow.partition(">")[2] not in dropped
     ]
     answered = sum(item.kind is Kind.ANSWERED for item in asked)
     return answered / len(asked) if asked else 0.0
@@ -166,7 +168,7 @@
 def check_recovery(events: typing.Sequence[Event], end_s: float) -> list[Violation]:
     """Check that the fleet serves again once all faults are over."""
     part = served_share(events, end_s)
-    if part >= SERVED:
+    if part >= MIN_SERVED_SHARE:
         return []
     last = max(events, key=lambda item: item.at_s)
     return [Violation("recovery", last, f"only {part:.2f} are answered at the end")]
@@ -216,7 +218,7 @@
             since_s.pop(item.who, None)
         elif item.kind is Kind.OPENED and item.who in since_s:
             late_s = item.at_s - since_s[item.who]
-            if late_s > DRAIN_S + SLACK_S:
+            if late_s > DRAIN_LIMIT_S + TOLERANCE_S:
                 yield Violation("drain", item, f"{late_s:.2f} s after it said so")
 
 
@@ -231,7 +233,7 @@
         elif item.kind is Kind.OPENED:
             zone = zones.get(item.who, "")
             late_s = item.at_s - since_s.get(zone, item.at_s)
-            if late_s > EVACUATION_S + SLACK_S:
+            if late_s > EVACUATION_LIMIT_S + TOLERANCE_S:
                 yield Violation("evacuation", item, f"{zone}, {late_s:.2f} s after it")
 
 
@@ -248,9 +250,9 @@
             continue
         recent = opened_s[item.who]
         recent.append(item.at_s)
-        while item.at_s - recent[0] >= COLD_SPAN_S:
+        while item.at_s - recent[0] >= COLD_WINDOW_S:
             recent.popleft()
-        if len(recent) > COLD_FLOWS:
+        if len(recent) > MAX_COLD_FLOWS:
             yield Violation("cold", item, f"{len(recent)} flows in a second")
 
 
@@ -266,11 +268,11 @@
         port = item.flow.partition(">")[2]
         if item.kind is Kind.OPENED and port in dropped_s:
             late_s = item.sent_s - dropped_s[port]
-            if late_s > CONFIG_S + SLACK_S:
+            if late_s > CONFIG_LIMIT_S + TOLERANCE_S:
                 yield Violation("config", item, f"dropped {late_s:.2f} s before")
         if item.kind is Kind.REFUSED and port in added_s and port not in dropped_s:
             late_s = item.sent_s - added_s[port]
-            if late_s > CONFIG_S + SLACK_S:
+            if late_s > CONFIG_LIMIT_S + TOLERANCE_S:
                 yield Violation("config", item, f"added {late_s:.2f} s before")
 
 
@@ -284,7 +286,7 @@
     pauses_s = [
         item.at_s
         for item in events
-        if item.kind is Kind.FAULT and item.detail.startswith(PAUSE)
+        if item.kind is Kind.FAULT and item.detail.startswith(PAUSE_FAULT)
     ]
     opened: dict[str, Event] = {}
     dropped = {item.flow for item in events if item.kind is Kind.ROUTE_DROPPED}
@@ -293,7 +295,7 @@
             opened[item.flow] = item
         if item.kind is not Kind.RESET or item.flow.partition(">")[2] in dropped:
             continue
-        if item.detail == BY_TARGET and _paused(pauses_s, item.at_s):
+        if item.detail == RESET_BY_TARGET and _paused(pauses_s, item.at_s):
             # A target that was paused answers old opening packets when it wakes.
             # A caller that takes them up names it from then on, and if the VM
             # that knows better dies just then, its packets go there.
@@ -304,7 +306,7 @@
 
 
 def _paused(pauses_s: typing.Sequence[float], at_s: float) -> bool:
-    return any(0 <= at_s - pause_s <= PAUSED_S for pause_s in pauses_s)
+    return any(0 <= at_s - pause_s <= PAUSE_EFFECT_S for pause_s in pauses_s)
 
 
 def _alive(lives: list[tuple[float, float]], from_s: float, to_s: float) -> bool:
--- a/tests/test_soak_history.py
+++ b/tests/test_soak_history.py
@@ -103,7 +103,7 @@
 
 
 def test_reset_of_an_open_flow(good: list[history.Event]) -> None:
-    reset = _event(6, K.RESET, who="c", flow="1>443", detail=history.BY_TARGET)
+    reset = _event(6, K.RESET, who="c", flow="1>443", detail=history.RESET_BY_TARGET)
     assert _promises([*good, reset]) == {"open flow"}
     ended = _event(5.5, K.ENDED)
     assert _promises([*good, ended, reset]) == set()
@@ -116,10 +116,10 @@
 
     It is the target that was harmed; a VM has no such excuse.
     """
-    pause = _event(5.5, K.FAULT, detail=f"{history.PAUSE} 0.5")
-    reset = _event(6, K.RESET, who="c", flow="1>443", detail=history.BY_TARGET)
+    pause = _event(5.5, K.FAULT, detail=f"{history.PAUSE_FAULT} 0.5")
+    reset = _event(6, K.RESET, who="c", flow="1>443", detail=history.RESET_BY_TARGET)
     assert _promises([*good, pause, reset]) == set()
-    assert _promises([*good, pause, reset._replace(detail=history.BY_VM)]) == {
+    assert _promises([*good, pause, reset._replace(detail=history.RESET_BY_VM)]) == {
         "open flow"
     }
 
