--- a/eelgrasswick/soak/actions.py
+++ b/eelgrasswick/soak/actions.py
@@ -49,7 +49,7 @@
 
     def carry_out(self, item: faults.Fault) -> None:
         """Begin a fault."""
-        self.note(item.kind, f"for {item.for_s}", f"{item.pick:.2f}")
+        self.note(item.kind, f"for {item.duration_s}", f"{item.selector:.2f}")
         getattr(self, item.kind)(item)
 
     def note(self, kind: str, who: str, detail: str) -> None:
@@ -68,7 +68,7 @@
 
     def vm_pause(self, item: faults.Fault) -> None:
         """Suspend an entry VM for a while."""
-        self._pause(self._pick(self._parts.vms, item), item.for_s)
+        self._pause(self._pick(self._parts.vms, item), item.duration_s)
 
     def vm_hup(self, item: faults.Fault) -> None:
         """Tell an entry VM that its settings have changed."""
@@ -88,7 +88,7 @@
 
     def target_pause(self, item: faults.Fault) -> None:
         """Suspend a target for a while."""
-        self._pause(self._pick(self._parts.targets, item), item.for_s)
+        self._pause(self._pick(self._parts.targets, item), item.duration_s)
 
     def target_drain(self, item: faults.Fault) -> None:
         """Stop a target as planned."""
@@ -114,7 +114,7 @@
         """Let the store refuse some VMs; all of them come from loopback."""
         count = max(1, int(item.strength * len(self._parts.proxies)))
         for made in self._some(item, count):
-            self._mood(made, item.for_s, proxy.Mood(forward=False))
+            self._mood(made, item.duration_s, proxy.Mood(forward=False))
             made.reset()
 
     def store_forgets(self, item: faults.Fault) -> None:
@@ -124,16 +124,16 @@
     def link_silent(self, item: faults.Fault) -> None:
         """Let a VM's connections to the store go silent."""
         mood = proxy.Mood(forward=False, back=False)
-        self._mood(self._some(item, 1)[0], item.for_s, mood)
+        self._mood(self._some(item, 1)[0], item.duration_s, mood)
 
     def link_one_way(self, item: faults.Fault) -> None:
         """Let answers of the store to a VM vanish."""
-        self._mood(self._some(item, 1)[0], item.for_s, proxy.Mood(back=False))
+        self._mood(self._some(item, 1)[0], item.duration_s, proxy.Mood(back=False))
 
     def link_delay(self, item: faults.Fault) -> None:
         """Delay a VM's connections to the store."""
         mood = proxy.Mood(delay_s=item.strength)
-        self._mood(self._some(item, 1)[0], item.for_s, mood)
+        self._mood(self._some(item, 1)[0], item.duration_s, mood)
 
     def link_reset(self, item: faults.Fault) -> None:
         """Reset the VMs' connections to the store."""
@@ -154,9 +154,9 @@
 
     def zone_cut(self, item: faults.Fault) -> None:
         """Cut all VMs of a zone off from all others and the store."""
-        for_s = min(item.for_s, ZONE_CUT_S)
+        for_s = min(item.duration_s, ZONE_CUT_S)
         zones = len(layout.ZONES)
-        numbers = range(int(item.pick * zones), len(self._parts.vms), zones)
+        numbers = range(int(item.selector * zones), len(self._parts.vms), zones)
         self._parts.peers.zone = frozenset(numbers)
         self._reactor.callLater(for_s, setattr, self._parts.peers, "zone", frozenset())
         for number in numbers:
@@ -165,10 +165,10 @@
 
     def zone_evacuate(self, item: faults.Fault) -> None:
         """Evacuate a zone, for longer than the order may take to be in force."""
-        zone = layout.ZONES[int(item.pick * len(layout.ZONES))]
+        zone = layout.ZONES[int(item.selector * len(layout.ZONES))]
         if not self._parts.operator.evacuate(zone):
             return
-        for_s = history.EVACUATION_LIMIT_S + item.for_s
+        for_s = history.EVACUATION_LIMIT_S + item.duration_s
         self._reactor.callLater(for_s, self._parts.operator.take_back, zone)
 
     def peers_lose(self, item: faults.Fault) -> None:
@@ -197,7 +197,7 @@
 
     def route_drop(self, item: faults.Fault) -> None:
         """Drop a route that was added."""
-        self._parts.operator.drop(item.pick)
+        self._parts.operator.drop(item.selector)
 
     def config_series(self, item: faults.Fault) -> None:
         """Add routes in quick succession."""
@@ -207,10 +207,10 @@
     def _pick(
         self, among: list[processes.Process], item: faults.Fault
     ) -> processes.Process:
-        return among[int(item.pick * len(among))]
+        return among[int(item.selector * len(among))]
 
     def _some(self, item: faults.Fault, count: int) -> list[proxy.Proxy]:
-        first = int(item.pick * len(self._parts.proxies))
+        first = int(item.selector * len(self._parts.proxies))
         return [
             self._parts.proxies[(first + n) % len(self._parts.proxies)]
             for n in range(count)
@@ -218,19 +218,21 @@
 
     def _cut(self, item: faults.Fault, mute: bool = False, deaf: bool = False) -> None:
         peers = self._parts.peers
-        number = int(item.pick * len(self._parts.vms))
+        number = int(item.selector * len(self._parts.vms))
         for wanted, cut in ((mute, peers.mute), (deaf, peers.deaf)):
             if wanted:
                 cut.add(number)
-                self._reactor.callLater(item.for_s, cut.discard, number)
+                self._reactor.callLater(item.duration_s, cut.discard, number)
         if deaf:
             mood = proxy.Mood(forward=False, back=False)
-            self._mood(peers.connections[number], item.for_s, mood)
+            self._mood(peers.connections[number], item.duration_s, mood)
 
     def _peers_mood(self, item: faults.Fault, mood: peer_links.Mood) -> None:
         peers = self._parts.peers
         peers.mood = mood
-        self._reactor.callLater(item.for_s, setattr, peers, "mood", peer_links.Mood())
+        self._reactor.callLater(
+            item.duration_s, setattr, peers, "mood", peer_links.Mood()
+        )
 
     def _pause(self, process: processes.Process, for_s: float) -> None:
         process.signal(signal.SIGSTOP)
@@ -248,8 +250,10 @@
     def _fabric_mood(self, item: faults.Fault, mood: fabric.Mood) -> None:
         self._parts.fabric.mood = mood
         calm = fabric.Mood()
-        self._reactor.callLater(item.for_s, setattr, self._parts.fabric, "mood", calm)
+        self._reactor.callLater(
+            item.duration_s, setattr, self._parts.fabric, "mood", calm
+        )
 
     def _store_fault(self, item: faults.Fault, **fields: typing.Any) -> None:
         self._parts.operator.fault(fields)
-        self._reactor.callLater(item.for_s, self._parts.operator.fault, {})
+        self._reactor.callLater(item.duration_s, self._parts.operator.fault, {})
--- a/eelgrasswick/soak/faults.py
+++ b/eelgrasswick/soak/faults.py
@@ -3,8 +3,8 @@
 import random
 import typing
 
-QUIET_S: typing.Final = 4.0
-LAST_S: typing.Final = 4.0
+QUIET_START_S: typing.Final = 4.0
+QUIET_END_S: typing.Final = 4.0
 
 
 class Fault(typing.NamedTuple):
@@ -20,14 +20,14 @@
 
     at_s: float
     kind: str
-    for_s: float
-    pick: float
+    duration_s: float
+    selector: float
     strength: float
 
 
 # The kinds that the first seeds were drawn from; a kept seed draws from these, as
 # more kinds would make another run of it.
-FIRST_KINDS: typing.Final = (
+ORIGINAL_KINDS: typing.Final = (
     "vm_term",
     "vm_kill",
     "vm_pause",
@@ -54,8 +54,8 @@
     "config_series",
 )
 # Kept seeds are drawn from these as well.
-CUT_KINDS: typing.Final = (
-    *FIRST_KINDS,
+KINDS_WITH_PARTITIONS: typing.Final = (
+    *ORIGINAL_KINDS,
     "vm_cut",
     "vm_mute",
     "vm_deaf",
@@ -63,7 +63,7 @@
     "peers_lose",
     "peers_delay",
 )
-KINDS: typing.Final = (*CUT_KINDS, "zone_evacuate")
+KINDS: typing.Final = (*KINDS_WITH_PARTITIONS, "zone_evacuate")
 
 
 def draw(
@@ -83,7 +83,12 @@
     rng = random.Random(seed)
     found = [
         Fault(
-            round(rng.uniform(QUIET_S, max(QUIET_S, duration_s - LAST_S)), 2),
+            round(
+                rng.uniform(
+                    QUIET_START_S, max(QUIET_START_S, duration_s - QUIET_END_S)
+                ),
+                2,
+            ),
             rng.choice(kinds),
             round(rng.uniform(0.5, 4.0), 2),
             rng.random(),
--- a/tests/test_soak_kept.py
+++ b/tests/test_soak_kept.py
@@ -25,5 +25,5 @@
 
 def test_kept_seed_draws_what_it_drew_when_it_failed() -> None:
     """A new kind of fault must not turn a kept seed into another run."""
-    drawn = faults.draw(12, 24.0, 4, faults.FIRST_KINDS)
+    drawn = faults.draw(12, 24.0, 4, faults.ORIGINAL_KINDS)
     assert [(item.at_s, item.kind) for item in drawn] == DRAWN_BY_12
