--- a/eelgrasswick/soak/__main__.py
+++ b/eelgrasswick/soak/__main__.py
@@ -61,7 +61,7 @@
         verdict = await run.Run(reactor, block, options, folder).play()
         print(verdict.line, flush=True)
         for breach in verdict.breaches:
-            print(f"  {breach.promise}: {breach.detail}: {breach.event}", flush=True)
+            print(f"  {breach.invariant}: {breach.detail}: {breach.event}", flush=True)
         if not verdict.passed and keep is not None:
             kept = keep / f"seed-{options.seed}"
             shutil.copytree(folder, kept, dirs_exist_ok=True)
--- a/eelgrasswick/soak/history.py
+++ b/eelgrasswick/soak/history.py
@@ -87,12 +87,12 @@
     """A promise that a run broke.
 
     Attributes:
-        promise: Which one.
+        invariant: Which one.
         event: The event that shows it.
         detail: Why.
     """
 
-    promise: str
+    invariant: str
     event: Event
     detail: str
 
--- a/tests/test_soak_history.py
+++ b/tests/test_soak_history.py
@@ -30,7 +30,7 @@
 
 
 def _promises(events: list[history.Event]) -> set[str]:
-    return {breach.promise for breach in history.check_invariants(events)}
+    return {breach.invariant for breach in history.check_invariants(events)}
 
 
 def test_good_run_breaks_nothing(good: list[history.Event]) -> None:
@@ -126,7 +126,7 @@
 
 def test_fleet_that_does_not_come_back(good: list[history.Event]) -> None:
     lost = [_event(6, K.LOST, who="c", flow=f"{n}>443") for n in range(5)]
-    assert [item.promise for item in history.check_recovery([*good, *lost], 6)] == [
+    assert [item.invariant for item in history.check_recovery([*good, *lost], 6)] == [
         "recovery"
     ]
 
