--- a/eelgrasswick/soak/actions.py
+++ b/eelgrasswick/soak/actions.py
@@ -157,8 +157,10 @@
         for_s = min(item.duration_s, ZONE_CUT_S)
         zones = len(layout.ZONES)
         numbers = range(int(item.selector * zones), len(self._parts.vms), zones)
-        self._parts.peers.zone = frozenset(numbers)
-        self._reactor.callLater(for_s, setattr, self._parts.peers, "zone", frozenset())
+        self._parts.peers.isolated_vms = frozenset(numbers)
+        self._reactor.callLater(
+            for_s, setattr, self._parts.peers, "isolated_vms", frozenset()
+        )
         for number in numbers:
             mood = proxy.Mood(forward=False, back=False)
             self._mood(self._parts.proxies[number], for_s, mood)
@@ -173,11 +175,11 @@
 
     def peers_lose(self, item: faults.Fault) -> None:
         """Lose datagrams between VMs."""
-        self._peers_mood(item, peer_links.Mood(loses=0.4 * item.strength))
+        self._peers_mood(item, peer_links.Impairment(loss_share=0.4 * item.strength))
 
     def peers_delay(self, item: faults.Fault) -> None:
         """Delay datagrams between VMs, so that they overtake each other."""
-        self._peers_mood(item, peer_links.Mood(delay_s=0.4 * item.strength))
+        self._peers_mood(item, peer_links.Impairment(max_delay_s=0.4 * item.strength))
 
     def fabric_loses(self, item: faults.Fault) -> None:
         """Lose callers' packets."""
@@ -219,19 +221,22 @@
     def _cut(self, item: faults.Fault, mute: bool = False, deaf: bool = False) -> None:
         peers = self._parts.peers
         number = int(item.selector * len(self._parts.vms))
-        for wanted, cut in ((mute, peers.mute), (deaf, peers.deaf)):
+        for wanted, cut in (
+            (mute, peers.blocked_senders),
+            (deaf, peers.blocked_receivers),
+        ):
             if wanted:
                 cut.add(number)
                 self._reactor.callLater(item.duration_s, cut.discard, number)
         if deaf:
             mood = proxy.Mood(forward=False, back=False)
-            self._mood(peers.connections[number], item.duration_s, mood)
+            self._mood(peers.proxies[number], item.duration_s, mood)
 
-    def _peers_mood(self, item: faults.Fault, mood: peer_links.Mood) -> None:
+    def _peers_mood(self, item: faults.Fault, mood: peer_links.Impairment) -> None:
         peers = self._parts.peers
-        peers.mood = mood
+        peers.impairment = mood
         self._reactor.callLater(
-            item.duration_s, setattr, peers, "mood", peer_links.Mood()
+            item.duration_s, setattr, peers, "impairment", peer_links.Impairment()
         )
 
     def _pause(self, process: processes.Process, for_s: float) -> None:
--- a/eelgrasswick/soak/peer_links.py
+++ b/eelgrasswick/soak/peer_links.py
@@ -15,7 +15,7 @@
 ALIAS_NETS: typing.Final = range(64, 256)
 
 
-class Mood(typing.NamedTuple):
+class Impairment(typing.NamedTuple):
     """What happens to datagrams between VMs.
 
     Attributes:
@@ -23,11 +23,11 @@
         delay_s: Each is late by up to this.
     """
 
-    loses: float = 0.0
-    delay_s: float = 0.0
+    loss_share: float = 0.0
+    max_delay_s: float = 0.0
 
 
-def aliases(block: int, hosts: typing.Sequence[str]) -> list[str]:
+def choose_aliases(block: int, hosts: typing.Sequence[str]) -> list[str]:
     """Return an alias for each VM.
 
     VMs work out from a checksum of addresses which of them watches the store.
@@ -59,44 +59,49 @@
         self, reactor: typing.Any, placed: layout.Layout, rng: random.Random
     ) -> None:
         """Open the aliases of all VMs."""
-        self.mood = Mood()
-        self.mute: set[int] = set()
-        self.deaf: set[int] = set()
-        self.zone: frozenset[int] = frozenset()
-        self.connections: list[proxy.Proxy] = []
+        self.impairment = Impairment()
+        self.blocked_senders: set[int] = set()
+        self.blocked_receivers: set[int] = set()
+        self.isolated_vms: frozenset[int] = frozenset()
+        self.proxies: list[proxy.Proxy] = []
         self.ports: list[typing.Any] = []
         self._reactor = reactor
         self._rng = rng
         self._hosts = [placed.vm_ip(number) for number in range(placed.vms)]
         self._numbers = {host: number for number, host in enumerate(self._hosts)}
-        self._ends: list[_End] = []
-        self.aliases = aliases(placed.block, self._hosts)
+        self._ends: list[_AliasSocket] = []
+        self.aliases = choose_aliases(placed.block, self._hosts)
         for number, alias in enumerate(self.aliases):
             self._open(number, alias)
 
     def _open(self, number: int, alias: str) -> None:
-        end = _End(self, number)
+        end = _AliasSocket(self, number)
         self._ends.append(end)
         made = proxy.Proxy(self._reactor, self._hosts[number], layout.PEER_PORT)
-        self.connections.append(made)
+        self.proxies.append(made)
         port = layout.PEER_PORT
         self.ports.append(self._reactor.listenUDP(port, end, alias, 65_535))
         self.ports.append(self._reactor.listenTCP(port, made, interface=alias))
 
-    def pass_on(self, raw: bytes, host: str, to: int) -> None:
+    def forward(self, raw: bytes, host: str, to: int) -> None:
         """Take a datagram of a VM for another."""
         sender = self._numbers.get(host)
-        if sender is None or sender == to or sender in self.mute or to in self.deaf:
+        if (
+            sender is None
+            or sender == to
+            or sender in self.blocked_senders
+            or to in self.blocked_receivers
+        ):
             return
-        apart = (sender in self.zone) != (to in self.zone)
-        if apart or self._rng.random() < self.mood.loses:
+        apart = (sender in self.isolated_vms) != (to in self.isolated_vms)
+        if apart or self._rng.random() < self.impairment.loss_share:
             return
-        delay_s = self._rng.random() * self.mood.delay_s
+        delay_s = self._rng.random() * self.impairment.max_delay_s
         address = (self._hosts[to], layout.PEER_PORT)
         self._reactor.callLater(delay_s, self._ends[sender].send, raw, address)
 
 
-class _End(protocol.DatagramProtocol):
+class _AliasSocket(protocol.DatagramProtocol):
     def __init__(self, links: PeerLinks, number: int) -> None:
         self._links = links
         self._number = number
@@ -106,4 +111,4 @@
             typing.cast(typing.Any, self.transport).write(raw, address)
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
-        self._links.pass_on(datagram, addr[0], self._number)
+        self._links.forward(datagram, addr[0], self._number)
--- a/eelgrasswick/soak/plot.py
+++ b/eelgrasswick/soak/plot.py
@@ -15,7 +15,7 @@
 }
 
 
-def counts(
+def count_outcomes(
     events: typing.Sequence[history.Event], begun_s: float
 ) -> dict[history.Kind, list[int]]:
     """Return how many requests ended in each way, by bin of half a second."""
@@ -40,7 +40,7 @@
     begun_s = min(item.at_s for item in events)
     parts = [
         picture.Series(kind.value, _COLORS[kind], by_bin)
-        for kind, by_bin in counts(events, begun_s).items()
+        for kind, by_bin in count_outcomes(events, begun_s).items()
     ]
     faults = [item for item in events if item.kind is history.Kind.FAULT]
     times_s = [item.at_s - begun_s for item in faults]
--- a/tests/test_soak_plot.py
+++ b/tests/test_soak_plot.py
@@ -16,7 +16,7 @@
         _event(10.6, history.Kind.LOST),
         _event(10.7, history.Kind.OPENED),
     ]
-    found = plot.counts(events, 10.0)
+    found = plot.count_outcomes(events, 10.0)
     assert found[history.Kind.ANSWERED] == [2, 0]
     assert found[history.Kind.LOST] == [0, 1]
     assert found[history.Kind.REFUSED] == [0, 0]
