--- a/eelgrasswick/soak/__init__.py
+++ b/eelgrasswick/soak/__init__.py
@@ -1,5 +1,5 @@
-"""Soak runs: the real programs as processes, with faults from outside them.
+"""Fault soak: runs the real programs as processes and injects faults from outside.
 
-A seed decides every fault. What must always hold is checked from what callers
-and targets saw, never from what the programs say of themselves.
+A seed decides all faults. The invariants are checked against what callers, targets
+and the operator observed, never against what the programs report about themselves.
 """
--- a/eelgrasswick/soak/__main__.py
+++ b/eelgrasswick/soak/__main__.py
@@ -28,16 +28,16 @@
     return parser.parse_args()
 
 
-async def _play(reactor: typing.Any, options: argparse.Namespace) -> None:
-    last = options.seed + options.seeds
+async def _run_seeds(reactor: typing.Any, options: argparse.Namespace) -> None:
+    end = options.seed + options.seeds
     seeds: dict[int, tuple[str, ...]] = dict.fromkeys(
-        range(options.seed, last), faults.KINDS
+        range(options.seed, end), faults.KINDS
     )
     if options.kept:
         seeds = {item.seed: item.kinds for item in kept.SEEDS}
     failed = 0
     for seed, kinds in seeds.items():
-        asked = run.Options(
+        run_options = run.Options(
             seed,
             options.duration_s,
             options.vms,
@@ -47,33 +47,36 @@
             kinds,
             options.plot,
         )
-        failed += not await _one(reactor, asked, options.keep)
+        failed += not await _run_seed(reactor, run_options, options.keep)
     print(f"{len(seeds) - failed} passed, {failed} failed")
     if failed:
         raise SystemExit(1)
 
 
-async def _one(
+async def _run_seed(
     reactor: typing.Any, options: run.Options, keep: pathlib.Path | None
 ) -> bool:
-    with layout.reserve_block() as block, tempfile.TemporaryDirectory() as name:
-        folder = pathlib.Path(name)
-        verdict = await run.Run(reactor, block, options, folder).play()
+    with layout.reserve_block() as block, tempfile.TemporaryDirectory() as path:
+        folder = pathlib.Path(path)
+        verdict = await run.Run(reactor, block, options, folder).execute()
         print(verdict.line, flush=True)
-        for breach in verdict.breaches:
-            print(f"  {breach.invariant}: {breach.detail}: {breach.event}", flush=True)
+        for violation in verdict.breaches:
+            print(
+                f"  {violation.invariant}: {violation.detail}: {violation.event}",
+                flush=True,
+            )
         if not verdict.passed and keep is not None:
-            kept = keep / f"seed-{options.seed}"
-            shutil.copytree(folder, kept, dirs_exist_ok=True)
+            destination = keep / f"seed-{options.seed}"
+            shutil.copytree(folder, destination, dirs_exist_ok=True)
     return verdict.passed
 
 
 def main() -> None:
-    """Run by the command line."""
+    """Run the seeds that the command line selects."""
     options = _options()
 
     def start(reactor: typing.Any) -> "defer.Deferred[None]":
-        return defer.Deferred.fromCoroutine(_play(reactor, options))
+        return defer.Deferred.fromCoroutine(_run_seeds(reactor, options))
 
     task.react(start)
 
--- a/eelgrasswick/soak/faults.py
+++ b/eelgrasswick/soak/faults.py
@@ -1,21 +1,22 @@
-"""Which faults a run has and when, all drawn from its seed."""
+"""Kinds and times of the faults of a run, all drawn from its seed."""
 
 import random
 import typing
 
+# No fault begins in the first and last seconds of the load.
 QUIET_START_S: typing.Final = 4.0
 QUIET_END_S: typing.Final = 4.0
 
 
 class Fault(typing.NamedTuple):
-    """A fault from outside the programs.
+    """A fault that is injected from outside the programs.
 
     Attributes:
-        at_s: When it begins, in seconds from the start of the load.
-        kind: Which one; a method of ``actions.Actions`` with this name carries it out.
-        for_s: How long it lasts, where it has an end.
-        pick: From 0 to 1; says on which process or part it falls.
-        strength: From 0 to 1; says how strong it is.
+        at_s: Start of the fault, in seconds from the start of the load.
+        kind: Name of the method of ``actions.FaultInjector`` that injects it.
+        duration_s: Duration in seconds, for faults that have an end.
+        selector: Number from 0 to 1 that selects the affected process, link or zone.
+        strength: Number from 0 to 1 that scales the effect.
     """
 
     at_s: float
@@ -25,8 +26,8 @@
     strength: float
 
 
-# The kinds that the first seeds were drawn from; a kept seed draws from these, as
-# more kinds would make another run of it.
+# Regression seeds that failed before other kinds were added draw from these kinds,
+# because a longer list would turn a seed into a different run.
 ORIGINAL_KINDS: typing.Final = (
     "vm_term",
     "vm_kill",
@@ -53,7 +54,7 @@
     "route_drop",
     "config_series",
 )
-# Kept seeds are drawn from these as well.
+# Regression seeds that failed before zone_evacuate was added draw from these kinds.
 KINDS_WITH_PARTITIONS: typing.Final = (
     *ORIGINAL_KINDS,
     "vm_cut",
@@ -69,19 +70,20 @@
 def draw(
     seed: int, duration_s: float, count: int, kinds: typing.Sequence[str] = KINDS
 ) -> list[Fault]:
-    """Return the faults of a seed, in the order of their beginning.
+    """Return the faults of a seed, in the order of their start.
 
-    They come in series and overlap; the first seconds are quiet, so that the
-    run has something to compare with, and so are the last ones.
+    Faults follow one another closely and overlap. No fault starts in the first
+    seconds, which serve as a baseline, or in the last ones, in which the fleet
+    recovers.
 
     Args:
-        seed: Decides everything.
-        duration_s: Length of the load.
-        count: How many faults.
-        kinds: What is drawn from.
+        seed: Seed of all random draws.
+        duration_s: Duration of the load in seconds.
+        count: Number of faults.
+        kinds: Kinds to draw from.
     """
     rng = random.Random(seed)
-    found = [
+    drawn = [
         Fault(
             round(
                 rng.uniform(
@@ -96,4 +98,4 @@
         )
         for _ in range(count)
     ]
-    return sorted(found)
+    return sorted(drawn)
--- a/eelgrasswick/soak/history.py
+++ b/eelgrasswick/soak/history.py
@@ -1,4 +1,4 @@
-"""What callers, targets and operators saw in a run, and what must hold of it."""
+"""Events that callers, targets and the operator record, and their invariants."""
 
 import collections
 import enum
@@ -9,34 +9,33 @@
 
 from eelgrasswick.soak import layout
 
-# The operators' bounds: seconds after which a draining target gets no new flow
-# and a changed configuration is in force everywhere, with what loopback and
-# busy machines add.
+# The operators require that a draining target gets no new flow, and that a changed
+# configuration is in force on all VMs, after this time.
 DRAIN_LIMIT_S: typing.Final = 3.0
 CONFIG_LIMIT_S: typing.Final = 3.0
-# The users' bound from which an evacuated zone gets no new flow.
+# The users require that an evacuated zone gets no new flow after this time.
 EVACUATION_LIMIT_S: typing.Final = 5.0
-# New flows that a target may get in any second while it is cold.
+# A cold target may get up to this number of new flows in any window of this length.
 MAX_COLD_FLOWS: typing.Final = 5
 COLD_WINDOW_S: typing.Final = 1.0
+# Loopback and busy machines add this delay to each limit.
 TOLERANCE_S: typing.Final = 0.7
-# Seconds at the end of a run without new faults, and the part of what is asked
-# in them that must be answered.
+# No new fault begins in the last seconds of a run, and at least this share of the
+# requests that end in them must be answered.
 RECOVERY_WINDOW_S: typing.Final = 4.0
 MIN_SERVED_SHARE: typing.Final = 0.5
 
 
-# Who sent a reset.
+# The detail of a RESET or REFUSED event names the sender of the reset.
 RESET_BY_VM: typing.Final = "by a VM"
 RESET_BY_TARGET: typing.Final = "by a target"
 PAUSE_FAULT: typing.Final = "target_pause"
-# A pause lasts up to 4 s, and for 4 s after it what the target does late does
-# not count.
+# A pause lasts up to 4 s, and late resets by the target are allowed for 4 s after it.
 PAUSE_EFFECT_S: typing.Final = 8.0
 
 
 class Kind(enum.Enum):
-    """What happened."""
+    """Kinds of recorded events."""
 
     OPENED = "opened"
     RAN = "ran"
@@ -60,18 +59,19 @@
 
 
 class Event(typing.NamedTuple):
-    """One thing that someone saw.
+    """An observation by a caller, a target or the operator.
 
     Attributes:
         at_s: Seconds on the machine's monotonic clock.
-        kind: What happened.
-        who: The target, caller or operator that saw it; the zone of an evacuation.
-        flow: The flow's caller port and service port, where it is about one.
-        request: Id of the request, where it is about one.
-        detail: The service, the digest of an answer, the zone where a target
-            begins, drains or ends, or the fault.
-        sent_s: When the caller sent what the event is about; 0 where it does
-            not matter.
+        kind: Kind of the event.
+        who: The observing target, caller or operator; the zone of an evacuation.
+        flow: Caller port and service port of the flow, for events about a flow. A
+            route event has the service port alone.
+        request: Id of the request, for events about a request.
+        detail: The service, the digest of a response, the zone where a target
+            starts, drains or ends, the sender of a reset, or the fault.
+        sent_s: Monotonic time at which the caller began to open the flow; 0 where
+            it does not matter.
     """
 
     at_s: float
@@ -84,12 +84,12 @@
 
 
 class Violation(typing.NamedTuple):
-    """A promise that a run broke.
+    """A breach of an invariant in a run.
 
     Attributes:
-        invariant: Which one.
-        event: The event that shows it.
-        detail: Why.
+        invariant: Name of the invariant.
+        event: The event that breaches it.
+        detail: Reason why the event is a breach.
     """
 
     invariant: str
@@ -98,25 +98,25 @@
 
 
 def expected_response(request: str, size_bytes: int) -> bytes:
-    """Return the one right answer to a request."""
+    """Return the only correct response to a request."""
     seed = hashlib.blake2b(request.encode(), digest_size=32).digest()
     return (seed * (size_bytes // len(seed) + 1))[:size_bytes]
 
 
-def response_digest(answer: bytes) -> str:
-    """Return a short digest of an answer."""
-    return hashlib.blake2b(answer, digest_size=8).hexdigest()
+def response_digest(response: bytes) -> str:
+    """Return a short digest of a response."""
+    return hashlib.blake2b(response, digest_size=8).hexdigest()
 
 
 def write(path: pathlib.Path, item: Event) -> None:
-    """Append an event to a file, so that it outlives a killed process."""
+    """Append an event to a file, where it survives a kill of the process."""
     line = json.dumps([*item[:1], item.kind.value, *item[2:]])
     with path.open("a") as file:
         file.write(line + "\n")
 
 
 def read(path: pathlib.Path) -> list[Event]:
-    """Return the events in a file; a line that was cut by a kill is left out."""
+    """Return the events in a file, except for a line that a kill truncated."""
     events = []
     for line in path.read_text().splitlines():
         try:
@@ -128,75 +128,82 @@
 
 
 def check_invariants(events: typing.Sequence[Event]) -> list[Violation]:
-    """Check all promises that hold at any time.
+    """Return all violations of the invariants that hold at any time.
 
     Args:
-        events: Everything that was seen, in any order.
+        events: All recorded events, in any order.
     """
     ordered = sorted(events, key=lambda item: item.at_s)
     checks = (
-        _once,
-        _whole,
-        _right_service,
-        _drained,
-        _evacuated,
-        _cold,
-        _config,
-        _open_flows,
+        _check_single_execution,
+        _check_responses,
+        _check_services,
+        _check_drains,
+        _check_evacuations,
+        _check_cold_targets,
+        _check_routes,
+        _check_open_flows,
     )
-    return [breach for check in checks for breach in check(ordered)]
+    return [violation for check in checks for violation in check(ordered)]
 
 
 def served_share(events: typing.Sequence[Event], end_s: float) -> float:
-    """Return the part of all requests that was answered at the end of a run.
+    """Return the share of requests at the end of a run that were answered.
+
+    Requests on routes that were dropped during the run are left out.
 
     Args:
-        events: Everything that was seen.
-        end_s: When the load ended; the seconds before and after it count.
+        events: All recorded events.
+        end_s: Monotonic time at which the load ended. Requests that ended up to
+            RECOVERY_WINDOW_S before it, or after it, are counted.
     """
-    last = [item for item in events if item.at_s >= end_s - RECOVERY_WINDOW_S]
+    late = [item for item in events if item.at_s >= end_s - RECOVERY_WINDOW_S]
     dropped = {item.flow for item in events if item.kind is Kind.ROUTE_DROPPED}
-    asked = [
+    ended = [
         item
-        for item in last
+        for item in late
         if item.kind in REQUEST_ENDS and item.flow.partition(">")[2] not in dropped
     ]
-    answered = sum(item.kind is Kind.ANSWERED for item in asked)
-    return answered / len(asked) if asked else 0.0
+    answered = sum(item.kind is Kind.ANSWERED for item in ended)
+    return answered / len(ended) if ended else 0.0
 
 
 def check_recovery(events: typing.Sequence[Event], end_s: float) -> list[Violation]:
-    """Check that the fleet serves again once all faults are over."""
-    part = served_share(events, end_s)
-    if part >= MIN_SERVED_SHARE:
+    """Return a violation if the fleet does not recover after the last fault."""
+    share = served_share(events, end_s)
+    if share >= MIN_SERVED_SHARE:
         return []
     last = max(events, key=lambda item: item.at_s)
-    return [Violation("recovery", last, f"only {part:.2f} are answered at the end")]
+    return [Violation("recovery", last, f"only {share:.2f} are answered at the end")]
 
 
-def _once(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
-    ran: dict[str, Event] = {}
+def _check_single_execution(
+    events: typing.Sequence[Event],
+) -> typing.Iterator[Violation]:
+    executed: dict[str, Event] = {}
     for item in events:
         if item.kind is not Kind.RAN:
             continue
-        if item.request in ran:
-            yield Violation("at most once", item, f"ran before: {ran[item.request]}")
-        ran[item.request] = item
+        if item.request in executed:
+            yield Violation(
+                "at most once", item, f"ran before: {executed[item.request]}"
+            )
+        executed[item.request] = item
 
 
-def _whole(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
-    ran = {item.request: item for item in events if item.kind is Kind.RAN}
+def _check_responses(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
+    executed = {item.request: item for item in events if item.kind is Kind.RAN}
     for item in events:
         if item.kind is not Kind.ANSWERED:
             continue
-        source = ran.get(item.request)
+        source = executed.get(item.request)
         if source is None:
             yield Violation("own answer", item, "no target ran it")
         elif source.detail != item.detail:
             yield Violation("whole answer", item, f"the target sent {source.detail}")
 
 
-def _right_service(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
+def _check_services(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
     services = {
         item.flow: item.detail for item in events if item.kind is Kind.ROUTE_ADDED
     }
@@ -209,44 +216,44 @@
                 )
 
 
-def _drained(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
-    since_s: dict[str, float] = {}
+def _check_drains(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
+    drained_s: dict[str, float] = {}
     for item in events:
         if item.kind is Kind.DRAINED:
-            since_s[item.who] = item.at_s
+            drained_s[item.who] = item.at_s
         elif item.kind is Kind.BEGUN:
-            since_s.pop(item.who, None)
-        elif item.kind is Kind.OPENED and item.who in since_s:
-            late_s = item.at_s - since_s[item.who]
+            drained_s.pop(item.who, None)
+        elif item.kind is Kind.OPENED and item.who in drained_s:
+            late_s = item.at_s - drained_s[item.who]
             if late_s > DRAIN_LIMIT_S + TOLERANCE_S:
                 yield Violation("drain", item, f"{late_s:.2f} s after it said so")
 
 
-def _evacuated(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
+def _check_evacuations(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
     zones = {item.who: item.detail for item in events if item.kind is Kind.BEGUN}
-    since_s: dict[str, float] = {}
+    evacuated_s: dict[str, float] = {}
     for item in events:
         if item.kind is Kind.EVACUATED:
-            since_s[item.who] = item.at_s
+            evacuated_s[item.who] = item.at_s
         elif item.kind is Kind.TAKEN_BACK:
-            since_s.pop(item.who, None)
+            evacuated_s.pop(item.who, None)
         elif item.kind is Kind.OPENED:
             zone = zones.get(item.who, "")
-            late_s = item.at_s - since_s.get(zone, item.at_s)
+            late_s = item.at_s - evacuated_s.get(zone, item.at_s)
             if late_s > EVACUATION_LIMIT_S + TOLERANCE_S:
                 yield Violation("evacuation", item, f"{zone}, {late_s:.2f} s after it")
 
 
-def _cold(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
-    begun_s: dict[str, float] = {}
+def _check_cold_targets(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
+    started_s: dict[str, float] = {}
     opened_s: dict[str, collections.deque[float]] = {}
     for item in events:
         if item.kind is Kind.BEGUN:
-            begun_s[item.who] = item.at_s
+            started_s[item.who] = item.at_s
             opened_s[item.who] = collections.deque()
         if item.kind is not Kind.OPENED or item.detail != layout.COLD_SERVICE:
             continue
-        if item.at_s - begun_s.get(item.who, 0.0) > layout.COLD_START_S:
+        if item.at_s - started_s.get(item.who, 0.0) > layout.COLD_START_S:
             continue
         recent = opened_s[item.who]
         recent.append(item.at_s)
@@ -256,7 +263,7 @@
             yield Violation("cold", item, f"{len(recent)} flows in a second")
 
 
-def _config(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
+def _check_routes(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
     dropped_s: dict[str, float] = {}
     added_s: dict[str, float] = {}
     for item in events:
@@ -276,13 +283,13 @@
                 yield Violation("config", item, f"added {late_s:.2f} s before")
 
 
-def _open_flows(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
-    lives: dict[str, list[tuple[float, float]]] = collections.defaultdict(list)
+def _check_open_flows(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
+    lifetimes: dict[str, list[tuple[float, float]]] = collections.defaultdict(list)
     for item in events:
         if item.kind is Kind.BEGUN:
-            lives[item.who].append((item.at_s, float("inf")))
-        elif item.kind is Kind.ENDED and lives[item.who]:
-            lives[item.who][-1] = (lives[item.who][-1][0], item.at_s)
+            lifetimes[item.who].append((item.at_s, float("inf")))
+        elif item.kind is Kind.ENDED and lifetimes[item.who]:
+            lifetimes[item.who][-1] = (lifetimes[item.who][-1][0], item.at_s)
     pauses_s = [
         item.at_s
         for item in events
@@ -295,19 +302,22 @@
             opened[item.flow] = item
         if item.kind is not Kind.RESET or item.flow.partition(">")[2] in dropped:
             continue
-        if item.detail == RESET_BY_TARGET and _paused(pauses_s, item.at_s):
-            # A target that was paused answers old opening packets when it wakes.
-            # A caller that takes them up names it from then on, and if the VM
-            # that knows better dies just then, its packets go there.
+        if item.detail == RESET_BY_TARGET and _soon_after_pause(pauses_s, item.at_s):
+            # A paused target answers old SYN packets when it resumes. A caller that
+            # accepts such a SYN-ACK sends the cookie of this target from then on.
+            # If the VM that recorded the flow's true target dies at this moment,
+            # the other VMs route the caller's packets to the resumed target.
             continue
         source = opened.get(item.flow)
-        if source is not None and _alive(lives[source.who], source.at_s, item.at_s):
+        if source is not None and _alive(lifetimes[source.who], source.at_s, item.at_s):
             yield Violation("open flow", item, f"its target {source.who} lives")
 
 
-def _paused(pauses_s: typing.Sequence[float], at_s: float) -> bool:
+def _soon_after_pause(pauses_s: typing.Sequence[float], at_s: float) -> bool:
     return any(0 <= at_s - pause_s <= PAUSE_EFFECT_S for pause_s in pauses_s)
 
 
-def _alive(lives: list[tuple[float, float]], from_s: float, to_s: float) -> bool:
-    return any(begun <= from_s and to_s < ended for begun, ended in lives)
+def _alive(lifetimes: list[tuple[float, float]], from_s: float, to_s: float) -> bool:
+    return any(
+        started_s <= from_s and to_s < ended_s for started_s, ended_s in lifetimes
+    )
--- a/eelgrasswick/soak/kept.py
+++ b/eelgrasswick/soak/kept.py
@@ -1,4 +1,4 @@
-"""Seeds that failed once; each is played again as it was, with its cause."""
+"""Regression seeds: seeds that once failed, and the cause of each failure."""
 
 import typing
 
@@ -6,12 +6,12 @@
 
 
 class RegressionSeed(typing.NamedTuple):
-    """A seed that broke a promise.
+    """A seed whose run once violated an invariant.
 
     Attributes:
-        seed: It decides the load and the faults.
-        cause: Why it failed.
-        kinds: What its faults are drawn from.
+        seed: Seed of the load and the faults.
+        cause: Cause of the failure.
+        kinds: Kinds from which its faults are drawn, as they were when it failed.
     """
 
     seed: int
@@ -20,28 +20,28 @@
 
 
 SEEDS: typing.Final = (
+    RegressionSeed(1, "SYN packets queued at a paused VM were placed on new targets"),
     RegressionSeed(
-        1, "opening packets that waited at a paused VM were placed at new servers"
+        6, "a paused target answered old SYN packets; the VM with its record died"
     ),
+    RegressionSeed(11, "a duplicated SYN packet was placed on two targets"),
     RegressionSeed(
-        6, "a paused server answered old opening packets; the knowing VM was killed"
+        12, "expired entries were treated as deleted during a second store outage"
     ),
-    RegressionSeed(11, "a doubled opening packet was placed at two servers"),
-    RegressionSeed(12, "lapsed entries counted as gone while the store was away again"),
-    RegressionSeed(14, "as seed 1, with copies of the opening packet"),
-    RegressionSeed(15, "as seed 1, with the flow open elsewhere"),
-    RegressionSeed(101, "as seed 6, with the knowing VM out of rotation"),
+    RegressionSeed(14, "as seed 1, with retransmitted SYN packets"),
+    RegressionSeed(15, "as seed 1, with the flow open on another target"),
+    RegressionSeed(101, "as seed 6, with the VM that had the record out of rotation"),
     RegressionSeed(
-        118, "VMs that started in an outage refused flows before entries were back"
+        118, "VMs started during a store outage refused flows before entries returned"
     ),
     RegressionSeed(
         410,
-        "a silence of 2.4 s ended all entries, and was not taken for an outage",
+        "2.4 s of silence expired all entries and was not detected as an outage",
         faults.KINDS_WITH_PARTITIONS,
     ),
     RegressionSeed(
         411,
-        "an opening packet waited in the socket of a VM that took a second to start",
+        "a SYN packet was queued in the socket of a VM that started in one second",
         faults.KINDS_WITH_PARTITIONS,
     ),
 )
