--- a/eelgrasswick/soak/actions.py
+++ b/eelgrasswick/soak/actions.py
@@ -1,4 +1,4 @@
-"""Carries the faults of a run out, from outside the programs."""
+"""Injects the faults of a run from outside the programs."""
 
 import signal
 import time
@@ -15,250 +15,302 @@
     proxy,
 )
 
-SERIES: typing.Final = 6
-SERIES_GAP_S: typing.Final = 0.15
-# A zone that is cut off from the store and all other VMs hears of no change. Its
-# knowledge must be new again within the operators' three seconds.
-ZONE_CUT_S: typing.Final = 2.0
+CONFIG_SERIES_ROUTES: typing.Final = 6
+CONFIG_SERIES_INTERVAL_S: typing.Final = 0.15
+# A zone that is cut off from the store and from all other VMs receives no updates. The
+# cut is this short so that its VMs can be up to date again within the three seconds
+# that the operators require.
+MAX_ZONE_CUT_S: typing.Final = 2.0
 
 
-class Parts(typing.NamedTuple):
-    """What faults fall on."""
+class Components(typing.NamedTuple):
+    """Components of a run that faults affect.
+
+    Attributes:
+        vms: Processes of the entry VMs, in the order of their numbers.
+        targets: Processes of the targets.
+        store_proxies: The proxy between each VM and the store.
+        peers: Links between the VMs.
+        fabric: Fabric between callers and VMs.
+        operator: Operator, who also sets the faults of the store.
+    """
 
     vms: list[processes.Process]
     targets: list[processes.Process]
-    proxies: list[proxy.Proxy]
+    store_proxies: list[proxy.Proxy]
     peers: peer_links.PeerLinks
     fabric: fabric.Fabric
     operator: operator.Operator
 
 
-class Actions:
-    """One method for each kind of fault, by its name."""
+class FaultInjector:
+    """Injects faults; each kind of fault is the name of one method."""
 
     def __init__(
         self,
         reactor: typing.Any,
-        parts: Parts,
-        seen: typing.Callable[[history.Event], None],
+        components: Components,
+        on_event: typing.Callable[[history.Event], None],
     ) -> None:
-        """Act on the parts of a run, and note what is done."""
+        """Create an injector for the components of a run that records its events."""
         self._reactor = reactor
-        self._parts = parts
-        self._seen = seen
+        self._components = components
+        self._on_event = on_event
 
-    def carry_out(self, item: faults.Fault) -> None:
-        """Begin a fault."""
-        self.note(item.kind, f"for {item.duration_s}", f"{item.selector:.2f}")
+    def inject(self, item: faults.Fault) -> None:
+        """Start a fault, and record it."""
+        self.record(item.kind, f"for {item.duration_s}", f"{item.selector:.2f}")
         getattr(self, item.kind)(item)
 
-    def note(self, kind: str, who: str, detail: str) -> None:
-        """Note something that is no promise but explains the run."""
+    def record(self, kind: str, who: str, detail: str) -> None:
+        """Record a fault or a restart, which explains other events of the run."""
         detail = f"{kind} {detail}"
         event = history.Event(time.monotonic(), history.Kind.FAULT, who, detail=detail)
-        self._seen(event)
+        self._on_event(event)
 
     def vm_term(self, item: faults.Fault) -> None:
-        """Stop an entry VM as planned."""
-        self._pick(self._parts.vms, item).signal(signal.SIGTERM)
+        """Stop an entry VM with SIGTERM, as in planned maintenance."""
+        self._select_process(self._components.vms, item).signal(signal.SIGTERM)
 
     def vm_kill(self, item: faults.Fault) -> None:
         """Kill an entry VM."""
-        self._pick(self._parts.vms, item).signal(signal.SIGKILL)
+        self._select_process(self._components.vms, item).signal(signal.SIGKILL)
 
     def vm_pause(self, item: faults.Fault) -> None:
-        """Suspend an entry VM for a while."""
-        self._pause(self._pick(self._parts.vms, item), item.duration_s)
+        """Suspend an entry VM for the duration of the fault."""
+        self._pause(self._select_process(self._components.vms, item), item.duration_s)
 
     def vm_hup(self, item: faults.Fault) -> None:
-        """Tell an entry VM that its settings have changed."""
-        self._pick(self._parts.vms, item).signal(signal.SIGHUP)
+        """Make an entry VM reload its settings with SIGHUP."""
+        self._select_process(self._components.vms, item).signal(signal.SIGHUP)
 
     def vms_kill_all(self, item: faults.Fault) -> None:
         """Kill all entry VMs at once."""
-        for process in self._parts.vms:
+        for process in self._components.vms:
             process.signal(signal.SIGKILL)
 
     def target_kill(self, item: faults.Fault) -> None:
         """Kill a target."""
-        process = self._pick(self._parts.targets, item)
+        process = self._select_process(self._components.targets, item)
         ended = history.Event(time.monotonic(), history.Kind.ENDED, process.name)
-        self._seen(ended)
+        self._on_event(ended)
         process.signal(signal.SIGKILL)
 
     def target_pause(self, item: faults.Fault) -> None:
-        """Suspend a target for a while."""
-        self._pause(self._pick(self._parts.targets, item), item.duration_s)
+        """Suspend a target for the duration of the fault."""
+        self._pause(
+            self._select_process(self._components.targets, item), item.duration_s
+        )
 
     def target_drain(self, item: faults.Fault) -> None:
-        """Stop a target as planned."""
-        self._pick(self._parts.targets, item).signal(signal.SIGTERM)
+        """Stop a target with SIGTERM, so that it drains first."""
+        self._select_process(self._components.targets, item).signal(signal.SIGTERM)
 
     def store_silent(self, item: faults.Fault) -> None:
-        """Let the store take calls and not answer."""
+        """Make the store accept requests and not respond."""
         self._store_fault(item, fault="silent")
 
     def store_busy(self, item: faults.Fault) -> None:
-        """Let the store refuse all calls."""
+        """Make the store refuse all requests."""
         self._store_fault(item, fault="busy")
 
     def store_reset(self, item: faults.Fault) -> None:
-        """Let the store reset its connections."""
+        """Make the store reset the connection of each request."""
         self._store_fault(item, fault="reset")
 
     def store_slow(self, item: faults.Fault) -> None:
-        """Let the store answer late."""
+        """Delay the responses of the store by up to 0.6 s."""
         self._store_fault(item, delay_s=item.strength * 0.6)
 
     def store_refuses_some(self, item: faults.Fault) -> None:
-        """Let the store refuse some VMs; all of them come from loopback."""
-        count = max(1, int(item.strength * len(self._parts.proxies)))
-        for made in self._some(item, count):
-            self._mood(made, item.duration_s, proxy.Mood(forward=False))
-            made.reset()
+        """Cut some VMs off from the store.
+
+        The proxies reset the connections and drop later requests, because the store
+        sees all VMs under a loopback address and can't tell them apart.
+        """
+        count = max(1, int(item.strength * len(self._components.store_proxies)))
+        for store_proxy in self._select_store_proxies(item, count):
+            self._impair_proxy(
+                store_proxy, item.duration_s, proxy.Impairment(forwards_upstream=False)
+            )
+            store_proxy.reset()
 
     def store_forgets(self, item: faults.Fault) -> None:
-        """Let the store drop its history."""
-        self._parts.operator.fault({"forget": True})
+        """Make the store drop its history of changes."""
+        self._components.operator.set_store_fault({"forget": True})
 
     def link_silent(self, item: faults.Fault) -> None:
-        """Let a VM's connections to the store go silent."""
-        mood = proxy.Mood(forward=False, back=False)
-        self._mood(self._some(item, 1)[0], item.duration_s, mood)
+        """Drop all bytes between a VM and the store without closing connections."""
+        impairment = proxy.Impairment(
+            forwards_upstream=False, forwards_downstream=False
+        )
+        self._impair_proxy(
+            self._select_store_proxies(item, 1)[0], item.duration_s, impairment
+        )
 
     def link_one_way(self, item: faults.Fault) -> None:
-        """Let answers of the store to a VM vanish."""
-        self._mood(self._some(item, 1)[0], item.duration_s, proxy.Mood(back=False))
+        """Drop the responses of the store to a VM."""
+        self._impair_proxy(
+            self._select_store_proxies(item, 1)[0],
+            item.duration_s,
+            proxy.Impairment(forwards_downstream=False),
+        )
 
     def link_delay(self, item: faults.Fault) -> None:
-        """Delay a VM's connections to the store."""
-        mood = proxy.Mood(delay_s=item.strength)
-        self._mood(self._some(item, 1)[0], item.duration_s, mood)
+        """Delay all bytes between a VM and the store."""
+        impairment = proxy.Impairment(delay_s=item.strength)
+        self._impair_proxy(
+            self._select_store_proxies(item, 1)[0], item.duration_s, impairment
+        )
 
     def link_reset(self, item: faults.Fault) -> None:
-        """Reset the VMs' connections to the store."""
-        for made in self._some(item, len(self._parts.proxies)):
-            made.reset()
+        """Reset the connections of all VMs to the store."""
+        for store_proxy in self._select_store_proxies(
+            item, len(self._components.store_proxies)
+        ):
+            store_proxy.reset()
 
     def vm_cut(self, item: faults.Fault) -> None:
         """Cut a VM off from all other VMs."""
-        self._cut(item, mute=True, deaf=True)
+        self._block_vm(item, outgoing=True, incoming=True)
 
     def vm_mute(self, item: faults.Fault) -> None:
-        """Let a VM's datagrams to the others vanish."""
-        self._cut(item, mute=True)
+        """Drop the datagrams that a VM sends to the other VMs."""
+        self._block_vm(item, outgoing=True)
 
     def vm_deaf(self, item: faults.Fault) -> None:
-        """Let the datagrams of the others to a VM vanish."""
-        self._cut(item, deaf=True)
+        """Drop the datagrams and connections of the other VMs to a VM."""
+        self._block_vm(item, incoming=True)
 
     def zone_cut(self, item: faults.Fault) -> None:
-        """Cut all VMs of a zone off from all others and the store."""
-        for_s = min(item.duration_s, ZONE_CUT_S)
+        """Cut all VMs of a zone off from all other VMs and from the store."""
+        duration_s = min(item.duration_s, MAX_ZONE_CUT_S)
         zones = len(layout.ZONES)
-        numbers = range(int(item.selector * zones), len(self._parts.vms), zones)
-        self._parts.peers.isolated_vms = frozenset(numbers)
+        numbers = range(int(item.selector * zones), len(self._components.vms), zones)
+        self._components.peers.isolated_vms = frozenset(numbers)
         self._reactor.callLater(
-            for_s, setattr, self._parts.peers, "isolated_vms", frozenset()
+            duration_s, setattr, self._components.peers, "isolated_vms", frozenset()
         )
         for number in numbers:
-            mood = proxy.Mood(forward=False, back=False)
-            self._mood(self._parts.proxies[number], for_s, mood)
+            impairment = proxy.Impairment(
+                forwards_upstream=False, forwards_downstream=False
+            )
+            self._impair_proxy(
+                self._components.store_proxies[number], duration_s, impairment
+            )
 
     def zone_evacuate(self, item: faults.Fault) -> None:
-        """Evacuate a zone, for longer than the order may take to be in force."""
+        """Evacuate a zone for longer than the evacuation may take to be in force."""
         zone = layout.ZONES[int(item.selector * len(layout.ZONES))]
-        if not self._parts.operator.evacuate(zone):
+        if not self._components.operator.evacuate(zone):
             return
-        for_s = history.EVACUATION_LIMIT_S + item.duration_s
-        self._reactor.callLater(for_s, self._parts.operator.take_back, zone)
+        duration_s = history.EVACUATION_LIMIT_S + item.duration_s
+        self._reactor.callLater(
+            duration_s, self._components.operator.end_evacuation, zone
+        )
 
     def peers_lose(self, item: faults.Fault) -> None:
-        """Lose datagrams between VMs."""
-        self._peers_mood(item, peer_links.Impairment(loss_share=0.4 * item.strength))
+        """Drop a share of the datagrams between VMs."""
+        self._impair_peers(item, peer_links.Impairment(loss_share=0.4 * item.strength))
 
     def peers_delay(self, item: faults.Fault) -> None:
-        """Delay datagrams between VMs, so that they overtake each other."""
-        self._peers_mood(item, peer_links.Impairment(max_delay_s=0.4 * item.strength))
+        """Delay datagrams between VMs by random times, so that they are reordered."""
+        self._impair_peers(item, peer_links.Impairment(max_delay_s=0.4 * item.strength))
 
     def fabric_loses(self, item: faults.Fault) -> None:
-        """Lose callers' packets."""
-        self._fabric_mood(item, fabric.Mood(loses=0.2 * item.strength))
+        """Drop a share of the callers' packets."""
+        self._impair_fabric(item, fabric.Impairment(loss_share=0.2 * item.strength))
 
     def fabric_doubles(self, item: faults.Fault) -> None:
-        """Deliver callers' packets twice."""
-        self._fabric_mood(item, fabric.Mood(doubles=item.strength))
+        """Deliver a share of the callers' packets twice."""
+        self._impair_fabric(item, fabric.Impairment(duplicate_share=item.strength))
 
     def fabric_reorders(self, item: faults.Fault) -> None:
-        """Deliver callers' packets out of order."""
-        self._fabric_mood(item, fabric.Mood(reorders=item.strength))
+        """Delay a share of the callers' packets, so that they are reordered."""
+        self._impair_fabric(item, fabric.Impairment(late_share=item.strength))
 
     def route_add(self, item: faults.Fault) -> None:
-        """Add a route."""
-        self._parts.operator.add()
+        """Add a route to the configuration."""
+        self._components.operator.add_route()
 
     def route_drop(self, item: faults.Fault) -> None:
-        """Drop a route that was added."""
-        self._parts.operator.drop(item.selector)
+        """Drop one of the routes that were added during the run."""
+        self._components.operator.drop_route(item.selector)
 
     def config_series(self, item: faults.Fault) -> None:
-        """Add routes in quick succession."""
-        for number in range(SERIES):
-            self._reactor.callLater(number * SERIES_GAP_S, self._parts.operator.add)
+        """Add several routes in quick succession."""
+        for number in range(CONFIG_SERIES_ROUTES):
+            self._reactor.callLater(
+                number * CONFIG_SERIES_INTERVAL_S, self._components.operator.add_route
+            )
 
-    def _pick(
+    def _select_process(
         self, among: list[processes.Process], item: faults.Fault
     ) -> processes.Process:
         return among[int(item.selector * len(among))]
 
-    def _some(self, item: faults.Fault, count: int) -> list[proxy.Proxy]:
-        first = int(item.selector * len(self._parts.proxies))
+    def _select_store_proxies(
+        self, item: faults.Fault, count: int
+    ) -> list[proxy.Proxy]:
+        first = int(item.selector * len(self._components.store_proxies))
         return [
-            self._parts.proxies[(first + n) % len(self._parts.proxies)]
+            self._components.store_proxies[
+                (first + n) % len(self._components.store_proxies)
+            ]
             for n in range(count)
         ]
 
-    def _cut(self, item: faults.Fault, mute: bool = False, deaf: bool = False) -> None:
-        peers = self._parts.peers
-        number = int(item.selector * len(self._parts.vms))
-        for wanted, cut in (
-            (mute, peers.blocked_senders),
-            (deaf, peers.blocked_receivers),
+    def _block_vm(
+        self, item: faults.Fault, outgoing: bool = False, incoming: bool = False
+    ) -> None:
+        peers = self._components.peers
+        number = int(item.selector * len(self._components.vms))
+        for wanted, blocked in (
+            (outgoing, peers.blocked_senders),
+            (incoming, peers.blocked_receivers),
         ):
             if wanted:
-                cut.add(number)
-                self._reactor.callLater(item.duration_s, cut.discard, number)
-        if deaf:
-            mood = proxy.Mood(forward=False, back=False)
-            self._mood(peers.proxies[number], item.duration_s, mood)
-
-    def _peers_mood(self, item: faults.Fault, mood: peer_links.Impairment) -> None:
-        peers = self._parts.peers
-        peers.impairment = mood
+                blocked.add(number)
+                self._reactor.callLater(item.duration_s, blocked.discard, number)
+        if incoming:
+            impairment = proxy.Impairment(
+                forwards_upstream=False, forwards_downstream=False
+            )
+            self._impair_proxy(peers.proxies[number], item.duration_s, impairment)
+
+    def _impair_peers(
+        self, item: faults.Fault, impairment: peer_links.Impairment
+    ) -> None:
+        peers = self._components.peers
+        peers.impairment = impairment
         self._reactor.callLater(
             item.duration_s, setattr, peers, "impairment", peer_links.Impairment()
         )
 
-    def _pause(self, process: processes.Process, for_s: float) -> None:
+    def _pause(self, process: processes.Process, duration_s: float) -> None:
         process.signal(signal.SIGSTOP)
-        self._reactor.callLater(for_s, process.signal, signal.SIGCONT)
+        self._reactor.callLater(duration_s, process.signal, signal.SIGCONT)
 
-    def _mood(self, made: proxy.Proxy, for_s: float, mood: proxy.Mood) -> None:
-        made.mood = mood
-        self._reactor.callLater(for_s, self._calm, made)
+    def _impair_proxy(
+        self, link: proxy.Proxy, duration_s: float, impairment: proxy.Impairment
+    ) -> None:
+        link.impairment = impairment
+        self._reactor.callLater(duration_s, self._clear_proxy, link)
 
-    def _calm(self, made: proxy.Proxy) -> None:
-        # Connections that lost bytes are useless; they stay open all the same,
-        # as after a real cut.
-        made.mood = proxy.Mood()
+    def _clear_proxy(self, link: proxy.Proxy) -> None:
+        # Connections that lost bytes are unusable but stay open, as after a real
+        # interruption of a link.
+        link.impairment = proxy.Impairment()
 
-    def _fabric_mood(self, item: faults.Fault, mood: fabric.Mood) -> None:
-        self._parts.fabric.mood = mood
-        calm = fabric.Mood()
+    def _impair_fabric(self, item: faults.Fault, impairment: fabric.Impairment) -> None:
+        self._components.fabric.impairment = impairment
+        unimpaired = fabric.Impairment()
         self._reactor.callLater(
-            item.duration_s, setattr, self._parts.fabric, "mood", calm
+            item.duration_s, setattr, self._components.fabric, "impairment", unimpaired
         )
 
     def _store_fault(self, item: faults.Fault, **fields: typing.Any) -> None:
-        self._parts.operator.fault(fields)
-        self._reactor.callLater(item.duration_s, self._parts.operator.fault, {})
+        self._components.operator.set_store_fault(fields)
+        self._reactor.callLater(
+            item.duration_s, self._components.operator.set_store_fault, {}
+        )
--- a/eelgrasswick/soak/fabric.py
+++ b/eelgrasswick/soak/fabric.py
@@ -1,4 +1,4 @@
-"""The fabric of a run: it spreads callers' packets over the entry VMs."""
+"""The network fabric of a run, which distributes packets over the entry VMs."""
 
 import random
 import typing
@@ -7,29 +7,35 @@
 from eelgrasswick.soak import caller
 
 
-class Mood(typing.NamedTuple):
-    """What the fabric does to packets, as shares of them.
+class Impairment(typing.NamedTuple):
+    """Faults of the fabric, as shares of packets from 0 to 1.
 
     Attributes:
-        loses: Part that is lost.
-        doubles: Part that arrives twice.
-        reorders: Part that comes up to 50 ms late.
+        loss_share: Share that is lost.
+        duplicate_share: Share that arrives twice.
+        late_share: Share that is delayed by up to MAX_DELAY_S and may be reordered.
     """
 
-    loses: float = 0.0
-    doubles: float = 0.0
-    reorders: float = 0.0
+    loss_share: float = 0.0
+    duplicate_share: float = 0.0
+    late_share: float = 0.0
 
 
-LATE_S: typing.Final = 0.05
+MAX_DELAY_S: typing.Final = 0.05
 
 
 class Fabric:
-    """Hashes flows over the VMs that are in rotation."""
+    """Sends each packet to a VM that a hash of caller address and port selects.
+
+    Attributes:
+        impairment: Faults that apply to all packets.
+        rotation: IP addresses of the VMs that get packets.
+        callers: Callers by IP address; packets are sent from their sockets.
+    """
 
     def __init__(self, reactor: typing.Any, port: int, rng: random.Random) -> None:
-        """Send to the VMs' port for packets."""
-        self.mood = Mood()
+        """Send packets to a port of the VMs."""
+        self.impairment = Impairment()
         self.rotation: list[str] = []
         self.callers: dict[str, caller.Caller] = {}
         self._reactor = reactor
@@ -37,15 +43,15 @@
         self._rng = rng
 
     def send(self, raw: bytes, host: str, port: int) -> None:
-        """Take a packet from a caller's address and port."""
-        if not self.rotation or self._rng.random() < self.mood.loses:
+        """Send a packet of a caller's address and port to a VM."""
+        if not self.rotation or self._rng.random() < self.impairment.loss_share:
             return
         digest = zlib.crc32(f"{host}:{port}".encode())
         vm = self.rotation[digest % len(self.rotation)]
-        copies = 2 if self._rng.random() < self.mood.doubles else 1
+        copies = 2 if self._rng.random() < self.impairment.duplicate_share else 1
         for _ in range(copies):
-            late = self._rng.random() < self.mood.reorders
-            delay_s = self._rng.random() * LATE_S if late else 0.0
+            late = self._rng.random() < self.impairment.late_share
+            delay_s = self._rng.random() * MAX_DELAY_S if late else 0.0
             self._reactor.callLater(delay_s, self._deliver, raw, host, vm)
 
     def _deliver(self, raw: bytes, host: str, vm: str) -> None:
--- a/eelgrasswick/soak/layout.py
+++ b/eelgrasswick/soak/layout.py
@@ -1,4 +1,4 @@
-"""Names and loopback addresses of a run."""
+"""Names, ports and loopback addresses of a run."""
 
 import contextlib
 import socket
@@ -13,14 +13,18 @@
 METRICS_PORT: typing.Final = 20164
 STORE_PORT: typing.Final = 20179
 TARGET_PORT: typing.Final = 20180
+# A run keeps this port bound for as long as it uses a block of addresses.
 RESERVATION_PORT: typing.Final = 20160
 SERVICE_IP: typing.Final = "198.18.0.1"
+# Number of VMs that each VM has in its settings as seeds of the fleet.
 SEED_VMS: typing.Final = 3
-# Seconds for which servers of this service are cold after their start, and new flows a
-# second that they bear then; with the settings' defaults five may come in any second.
+# Targets of this service are cold for this time after their start and accept this rate
+# of new flows then. The default settings of the VMs add an allowance, so that a cold
+# target may get five new flows in any second.
 COLD_SERVICE: typing.Final = "desk"
 COLD_START_S: typing.Final = 1.0
 COLD_FLOWS_PER_S: typing.Final = 0.0
+# Values of the second part of the addresses 127.BLOCK/16 of a run.
 ADDRESS_BLOCKS: typing.Final = range(130, 230)
 
 
@@ -31,7 +35,7 @@
         block: Second part of all addresses.
         vms: Number of entry VMs.
         targets: Number of targets.
-        callers: Number of callers' addresses.
+        callers: Number of callers, each with its own address.
     """
 
     block: int
@@ -41,7 +45,7 @@
 
     @property
     def store_address(self) -> str:
-        """Address of the store."""
+        """Address of the store as ``ip:port``."""
         return f"127.{self.block}.0.3:{STORE_PORT}"
 
     def store_proxy_ip(self, number: int) -> str:
@@ -60,15 +64,15 @@
         """IP address of a caller."""
         return f"127.{self.block}.4.{number + 1}"
 
-    def vm_settings(self, number: int, known_as: typing.Sequence[str]) -> str:
-        """Return the settings of an entry VM.
+    def vm_settings(self, number: int, peer_ips: typing.Sequence[str]) -> str:
+        """Return the settings of an entry VM as the text of its INI file.
 
         Args:
-            number: Which one.
-            known_as: Addresses that the VMs know each other by.
+            number: Number of the VM, from 0.
+            peer_ips: IP addresses under which the VMs reach each other.
         """
         host = self.vm_ip(number)
-        seeds = ", ".join(f"{seed}:1" for seed in known_as[:SEED_VMS])
+        seeds = ", ".join(f"{seed}:1" for seed in peer_ips[:SEED_VMS])
         return (
             f"[vm]\nname = vm{number}\nzone = {ZONES[number % len(ZONES)]}\n"
             f"data = {host}:{DATA_PORT}\nready = {host}:{READY_PORT}\n"
@@ -81,7 +85,10 @@
 
 @contextlib.contextmanager
 def reserve_block() -> typing.Iterator[int]:
-    """Hold a block of loopback addresses that no other run uses.
+    """Reserve a block of loopback addresses that no other run uses.
+
+    Yields:
+        The number of the block.
 
     Raises:
         errors.SettingsInvalidError: All blocks are in use.
--- a/eelgrasswick/soak/operator.py
+++ b/eelgrasswick/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator of a run: writes the configuration, and switches store faults."""
+"""The operator of a run, who writes the configuration and sets store faults."""
 
 import json
 import time
@@ -10,8 +10,9 @@
 from eelgrasswick.soak import history, layout
 
 TIMEOUT_S: typing.Final = 1.0
-FIRST_ADDED: typing.Final = 500
-_COLD: typing.Final = {
+# Service ports of the routes that are added during a run start here.
+FIRST_ADDED_PORT: typing.Final = 500
+_COLD_SERVICE: typing.Final = {
     "name": layout.COLD_SERVICE,
     "cold_start_s": layout.COLD_START_S,
     "cold_per_s": layout.COLD_FLOWS_PER_S,
@@ -19,80 +20,90 @@
 
 
 class Operator:
-    """Changes routes and evacuates zones; the store's answer is the confirmation."""
+    """Changes routes and evacuates zones; a change counts once the store confirms it.
+
+    Attributes:
+        added_ports: Service ports of all routes that were added during the run.
+    """
 
     def __init__(
         self,
         reactor: typing.Any,
         store: str,
-        seen: typing.Callable[[history.Event], None],
+        on_event: typing.Callable[[history.Event], None],
     ) -> None:
-        """Write to a store, and note what it confirmed."""
-        self.added: list[int] = []
+        """Write to the store at an address, and record what it confirms."""
+        self.added_ports: list[int] = []
         self._reactor = reactor
         self._store = store
-        self._seen = seen
+        self._on_event = on_event
         self._routes = {443: "desk", 444: "vault"}
-        self._told: dict[int, str] = {}
+        self._confirmed_routes: dict[int, str] = {}
         self._version = 0
         self._evacuated = ""
 
-    def add(self) -> None:
+    def add_route(self) -> None:
         """Add a route."""
-        port = FIRST_ADDED + len(self.added)
-        self.added.append(port)
+        port = FIRST_ADDED_PORT + len(self.added_ports)
+        self.added_ports.append(port)
         self._routes[port] = "desk"
-        defer.ensureDeferred(self.configure())
+        defer.ensureDeferred(self.write_config())
 
-    def drop(self, pick: float) -> None:
-        """Drop one of the routes that were added."""
-        added = [port for port in self._routes if port >= FIRST_ADDED]
+    def drop_route(self, selector: float) -> None:
+        """Drop one of the added routes, selected by a number from 0 to 1."""
+        added = [port for port in self._routes if port >= FIRST_ADDED_PORT]
         if added:
-            del self._routes[added[int(pick * len(added))]]
-            defer.ensureDeferred(self.configure())
+            del self._routes[added[int(selector * len(added))]]
+            defer.ensureDeferred(self.write_config())
 
     def evacuate(self, zone: str) -> bool:
-        """Evacuate a zone, unless one is evacuated already."""
+        """Evacuate a zone; return False if one is evacuated already."""
         if self._evacuated:
             return False
         self._evacuated = zone
         defer.ensureDeferred(self._evacuate(zone))
         return True
 
-    def take_back(self, zone: str) -> None:
-        """Take a zone back; targets there may get flows as soon as it is written."""
+    def end_evacuation(self, zone: str) -> None:
+        """End the evacuation of a zone.
+
+        The event is recorded before the store confirms the change, because targets
+        of the zone may get flows as soon as the change is written.
+        """
         self._evacuated = ""
-        self._seen(history.Event(time.monotonic(), history.Kind.TAKEN_BACK, zone))
+        self._on_event(history.Event(time.monotonic(), history.Kind.TAKEN_BACK, zone))
         defer.ensureDeferred(self._post("evacuation", {"zone": zone, "over": True}))
 
     async def _evacuate(self, zone: str) -> None:
         if await self._post("evacuation", {"zone": zone, "over": False}):
-            self._seen(history.Event(time.monotonic(), history.Kind.EVACUATED, zone))
+            self._on_event(
+                history.Event(time.monotonic(), history.Kind.EVACUATED, zone)
+            )
 
-    def fault(self, fields: dict[str, typing.Any]) -> None:
-        """Switch the store's faults; none for an empty table."""
+    def set_store_fault(self, fields: dict[str, typing.Any]) -> None:
+        """Replace the faults of the store; an empty table removes all."""
         self._post("fault", fields)
 
-    async def configure(self) -> bool:
-        """Write the configuration in full; True when it was confirmed."""
+    async def write_config(self) -> bool:
+        """Write the whole configuration, and return whether the store confirmed it."""
         self._version += 1
         wanted = dict(self._routes)
         routes = [_route(port, service) for port, service in wanted.items()]
-        body = {"version": self._version, "routes": routes, "services": [_COLD]}
-        for port in wanted.keys() - self._told.keys():
+        body = {"version": self._version, "routes": routes, "services": [_COLD_SERVICE]}
+        for port in wanted.keys() - self._confirmed_routes.keys():
             # Callers may reach a new route as soon as the store has it, which is
-            # before the operator hears so.
-            self._note(history.Kind.ROUTE_ADDED, port, wanted[port])
+            # before the operator receives the confirmation.
+            self._record(history.Kind.ROUTE_ADDED, port, wanted[port])
         if not await self._post("config", body):
             return False
-        for port in self._told.keys() - wanted.keys():
-            self._note(history.Kind.ROUTE_DROPPED, port, "")
-        self._told = wanted
+        for port in self._confirmed_routes.keys() - wanted.keys():
+            self._record(history.Kind.ROUTE_DROPPED, port, "")
+        self._confirmed_routes = wanted
         return True
 
-    def _note(self, kind: history.Kind, port: int, service: str) -> None:
+    def _record(self, kind: history.Kind, port: int, service: str) -> None:
         now_s = time.monotonic()
-        self._seen(history.Event(now_s, kind, "op", str(port), "", service))
+        self._on_event(history.Event(now_s, kind, "op", str(port), "", service))
 
     def _post(self, name: str, body: typing.Any) -> "defer.Deferred[bool]":
         url = f"http://{self._store}/own/{name}"
--- a/eelgrasswick/soak/peer_links.py
+++ b/eelgrasswick/soak/peer_links.py
@@ -1,7 +1,8 @@
-"""The links between the entry VMs of a run, so that they can be cut.
+"""Links between the entry VMs of a run, on which faults can be injected.
 
-Each VM is known to the others by an alias, an address of this module: what comes
-there is passed on to the VM, under the alias of the sender.
+The VMs reach each other by aliases, which are addresses that this module listens on.
+It forwards a datagram that arrives at an alias to the VM of this alias, and sends it
+from the alias of the sender. Connections to an alias go through a proxy.
 """
 
 import random
@@ -12,15 +13,17 @@
 
 from eelgrasswick.soak import layout, proxy
 
+# Aliases are chosen from these values of the third part of 127.BLOCK/16; the
+# addresses of the layout use lower ones.
 ALIAS_NETS: typing.Final = range(64, 256)
 
 
 class Impairment(typing.NamedTuple):
-    """What happens to datagrams between VMs.
+    """Faults of datagrams between VMs.
 
     Attributes:
-        loses: Part of all that is lost.
-        delay_s: Each is late by up to this.
+        loss_share: Share of datagrams, from 0 to 1, that is lost.
+        max_delay_s: Upper limit of the random delay of each datagram, in seconds.
     """
 
     loss_share: float = 0.0
@@ -28,11 +31,11 @@
 
 
 def choose_aliases(block: int, hosts: typing.Sequence[str]) -> list[str]:
-    """Return an alias for each VM.
+    """Return an alias for each of some IP addresses of VMs.
 
-    VMs work out from a checksum of addresses which of them watches the store.
-    A VM knows itself by its own address and the others by their aliases, so an
-    alias must have nearly the checksum of the address.
+    VMs determine by a checksum of their addresses which of them watches the store.
+    A VM uses its own address for itself and the aliases of the others, so that an
+    alias needs nearly the same checksum as the address that it stands for.
     """
     free = {f"127.{block}.{net}.{last}" for net in ALIAS_NETS for last in range(1, 255)}
     chosen = []
@@ -48,17 +51,19 @@
     """All links between the VMs of a run.
 
     Attributes:
-        mood: What happens to all datagrams.
-        mute: VMs whose datagrams vanish, by number.
-        deaf: VMs that datagrams do not reach, by number.
-        zone: VMs that only hear each other, by number.
-        connections: The proxy in front of each VM for connections of others.
+        impairment: Faults that apply to all datagrams.
+        blocked_senders: Numbers of the VMs whose datagrams are dropped.
+        blocked_receivers: Numbers of the VMs that receive no datagrams.
+        isolated_vms: Numbers of the VMs that exchange datagrams only with each other.
+        proxies: The proxy of each VM for connections from the other VMs.
+        ports: All listening ports, for closing them.
+        aliases: The alias of each VM.
     """
 
     def __init__(
-        self, reactor: typing.Any, placed: layout.Layout, rng: random.Random
+        self, reactor: typing.Any, addresses: layout.Layout, rng: random.Random
     ) -> None:
-        """Open the aliases of all VMs."""
+        """Listen on the aliases of all VMs."""
         self.impairment = Impairment()
         self.blocked_senders: set[int] = set()
         self.blocked_receivers: set[int] = set()
@@ -67,24 +72,31 @@
         self.ports: list[typing.Any] = []
         self._reactor = reactor
         self._rng = rng
-        self._hosts = [placed.vm_ip(number) for number in range(placed.vms)]
+        self._hosts = [addresses.vm_ip(number) for number in range(addresses.vms)]
         self._numbers = {host: number for number, host in enumerate(self._hosts)}
-        self._ends: list[_AliasSocket] = []
-        self.aliases = choose_aliases(placed.block, self._hosts)
+        self._sockets: list[_AliasSocket] = []
+        self.aliases = choose_aliases(addresses.block, self._hosts)
         for number, alias in enumerate(self.aliases):
-            self._open(number, alias)
+            self._listen(number, alias)
 
-    def _open(self, number: int, alias: str) -> None:
-        end = _AliasSocket(self, number)
-        self._ends.append(end)
-        made = proxy.Proxy(self._reactor, self._hosts[number], layout.PEER_PORT)
-        self.proxies.append(made)
+    def _listen(self, number: int, alias: str) -> None:
+        alias_socket = _AliasSocket(self, number)
+        self._sockets.append(alias_socket)
+        peer_proxy = proxy.Proxy(self._reactor, self._hosts[number], layout.PEER_PORT)
+        self.proxies.append(peer_proxy)
         port = layout.PEER_PORT
-        self.ports.append(self._reactor.listenUDP(port, end, alias, 65_535))
-        self.ports.append(self._reactor.listenTCP(port, made, interface=alias))
+        self.ports.append(self._reactor.listenUDP(port, alias_socket, alias, 65_535))
+        self.ports.append(self._reactor.listenTCP(port, peer_proxy, interface=alias))
 
     def forward(self, raw: bytes, host: str, to: int) -> None:
-        """Take a datagram of a VM for another."""
+        """Forward a datagram to a VM unless a fault drops it.
+
+        Args:
+            raw: The datagram.
+            host: IP address of the VM that sent it. Datagrams from addresses of no
+                VM are dropped.
+            to: Number of the VM that it is for.
+        """
         sender = self._numbers.get(host)
         if (
             sender is None
@@ -93,12 +105,12 @@
             or to in self.blocked_receivers
         ):
             return
-        apart = (sender in self.isolated_vms) != (to in self.isolated_vms)
-        if apart or self._rng.random() < self.impairment.loss_share:
+        separated = (sender in self.isolated_vms) != (to in self.isolated_vms)
+        if separated or self._rng.random() < self.impairment.loss_share:
             return
         delay_s = self._rng.random() * self.impairment.max_delay_s
         address = (self._hosts[to], layout.PEER_PORT)
-        self._reactor.callLater(delay_s, self._ends[sender].send, raw, address)
+        self._reactor.callLater(delay_s, self._sockets[sender].send, raw, address)
 
 
 class _AliasSocket(protocol.DatagramProtocol):
--- a/eelgrasswick/soak/plot.py
+++ b/eelgrasswick/soak/plot.py
@@ -1,4 +1,4 @@
-"""A picture of a run: what callers got over time, and when faults began."""
+"""A chart of a run: outcomes of requests over time, and the start of each fault."""
 
 import pathlib
 import typing
@@ -16,36 +16,41 @@
 
 
 def count_outcomes(
-    events: typing.Sequence[history.Event], begun_s: float
+    events: typing.Sequence[history.Event], start_s: float
 ) -> dict[history.Kind, list[int]]:
-    """Return how many requests ended in each way, by bin of half a second."""
-    ends = [item for item in events if item.kind in _COLORS]
-    bins = [int((item.at_s - begun_s) / BIN_S) for item in ends]
-    found = {kind: [0] * (max(bins, default=0) + 1) for kind in _COLORS}
-    for item, number in zip(ends, bins, strict=True):
-        found[item.kind][number] += 1
-    return found
+    """Return the number of requests with each outcome, by bins of BIN_S seconds.
+
+    Args:
+        events: All recorded events.
+        start_s: Monotonic time at which the first bin starts.
+    """
+    ended = [item for item in events if item.kind in _COLORS]
+    bins = [int((item.at_s - start_s) / BIN_S) for item in ended]
+    counts = {kind: [0] * (max(bins, default=0) + 1) for kind in _COLORS}
+    for item, number in zip(ended, bins, strict=True):
+        counts[item.kind][number] += 1
+    return counts
 
 
 def draw(
     events: typing.Sequence[history.Event], path: pathlib.Path, title: str
 ) -> None:
-    """Write the picture of a run.
+    """Write the chart of a run.
 
     Args:
-        events: Everything that was seen.
-        path: Where the picture goes; its ending tells the format.
-        title: What stands above it.
+        events: All recorded events.
+        path: Output file; the suffix selects the format.
+        title: Title above the chart.
     """
-    begun_s = min(item.at_s for item in events)
-    parts = [
+    start_s = min(item.at_s for item in events)
+    series = [
         picture.Series(kind.value, _COLORS[kind], by_bin)
-        for kind, by_bin in count_outcomes(events, begun_s).items()
+        for kind, by_bin in count_outcomes(events, start_s).items()
     ]
     faults = [item for item in events if item.kind is history.Kind.FAULT]
-    times_s = [item.at_s - begun_s for item in faults]
+    times_s = [item.at_s - start_s for item in faults]
     marks = [
         picture.Mark(item.detail.split()[0], at_s, at_s)
         for item, at_s in zip(faults, times_s, strict=True)
     ]
-    picture.draw(path, title, BIN_S, parts, marks)
+    picture.draw(path, title, BIN_S, series, marks)
--- a/eelgrasswick/soak/processes.py
+++ b/eelgrasswick/soak/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a run: started, signalled by id, and ended, no others."""
+"""Starts, signals and stops the processes of a run, by process id alone."""
 
 import json
 import os
@@ -11,11 +11,17 @@
 
 from eelgrasswick.platform import names
 
-END_S: typing.Final = 8.0
+# A process that does not end within this time after SIGTERM is killed.
+STOP_TIMEOUT_S: typing.Final = 8.0
 
 
 class Process:
-    """One program, its log, and how it is started again."""
+    """A program that can be restarted, and its log file.
+
+    Attributes:
+        name: Name of the process and of its log file.
+        starts: Number of times it was started.
+    """
 
     def __init__(
         self,
@@ -24,7 +30,7 @@
         folder: pathlib.Path,
         environment: typing.Mapping[str, str] | None = None,
     ) -> None:
-        """Start a Python module with arguments; its log goes to a folder."""
+        """Start Python with arguments; output goes to a log file in a folder."""
         self.name = name
         self.starts = 0
         self._arguments = (sys.executable, *arguments)
@@ -35,16 +41,16 @@
 
     @property
     def alive(self) -> bool:
-        """True while the process runs, paused or not."""
+        """True while the process exists, suspended or not."""
         return self._running is not None and self._running.poll() is None
 
     @property
     def exit_code(self) -> int | None:
-        """How it ended; None while it runs."""
+        """Exit code of the process; None while it runs."""
         return self._running.poll() if self._running is not None else None
 
     def start(self) -> None:
-        """Start it if it does not run."""
+        """Start the process if it does not run."""
         if self.alive:
             return
         self.starts += 1
@@ -58,36 +64,38 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send it a signal if it runs."""
+        """Send a signal to the process if it runs."""
         if self.alive and self._running is not None:
             self._running.send_signal(number)
 
-    def end(self) -> None:
-        """End it for good."""
+    def stop(self) -> None:
+        """Resume and terminate the process, and kill it after STOP_TIMEOUT_S."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
-        limit_s = time.monotonic() + END_S
-        while self.alive and time.monotonic() < limit_s:
+        deadline_s = time.monotonic() + STOP_TIMEOUT_S
+        while self.alive and time.monotonic() < deadline_s:
             time.sleep(0.02)
         self.signal(signal.SIGKILL)
         if self._running is not None:
             self._running.wait()
 
 
-def target(settings: typing.Mapping[str, typing.Any], folder: pathlib.Path) -> Process:
-    """Start a target's process."""
+def start_target(
+    settings: typing.Mapping[str, typing.Any], folder: pathlib.Path
+) -> Process:
+    """Start the process of a target."""
     arguments = ("-m", "eelgrasswick.soak.target", json.dumps(settings))
     return Process(settings["name"], arguments, folder)
 
 
-def store(address: str, folder: pathlib.Path) -> Process:
-    """Start the store's process."""
+def start_store(address: str, folder: pathlib.Path) -> Process:
+    """Start the process of the store at an address ``ip:port``."""
     return Process("store", ("-m", "eelgrasswick.soak.store", address), folder)
 
 
-def entry_vm(name: str, ini: str, folder: pathlib.Path) -> Process:
-    """Start the process of an entry VM as the platform starts it."""
+def start_entry_vm(name: str, settings: str, folder: pathlib.Path) -> Process:
+    """Start the process of an entry VM in the same way as the platform does."""
     path = folder / f"{name}.ini"
-    path.write_text(ini)
+    path.write_text(settings)
     arguments = ("-m", "eelgrasswick.platform")
     return Process(name, arguments, folder, {names.SETTINGS_VARIABLE: str(path)})
--- a/eelgrasswick/soak/proxy.py
+++ b/eelgrasswick/soak/proxy.py
@@ -1,53 +1,60 @@
-"""A loopback proxy in front of the store, one address for each entry VM."""
+"""A TCP proxy between one entry VM and the store, or between a VM and its peers."""
 
 import typing
 
 from twisted.internet import endpoints, protocol
 
+# Limit for each piece of data that arrives before the upstream connection is open.
 BUFFER_BYTES: typing.Final = 1_000_000
 
 
-class Mood(typing.NamedTuple):
-    """What the proxy does to the bytes of one VM's connections.
+class Impairment(typing.NamedTuple):
+    """Faults of the connections through a proxy.
 
     Attributes:
-        forward: False when bytes towards the store vanish.
-        back: False when bytes from the store vanish.
-        delay_s: How late bytes are passed on.
+        forwards_upstream: False if bytes to the upstream server are dropped.
+        forwards_downstream: False if bytes from the upstream server are dropped.
+        delay_s: Delay of forwarded bytes in seconds.
     """
 
-    forward: bool = True
-    back: bool = True
+    forwards_upstream: bool = True
+    forwards_downstream: bool = True
     delay_s: float = 0.0
 
 
 class Proxy(protocol.Factory):
-    """Passes connections of one VM on to the store."""
+    """Forwards connections to an upstream server: the store, or a VM.
+
+    Attributes:
+        impairment: Faults that apply to all connections.
+        reactor: Schedules delayed bytes.
+        upstream: Endpoint of the upstream server.
+    """
 
     noisy = False
 
     def __init__(self, reactor: typing.Any, host: str, port: int) -> None:
-        """Pass on to a store's address."""
-        self.mood = Mood()
+        """Forward connections to the upstream server at an address."""
+        self.impairment = Impairment()
         self.reactor = reactor
-        self.store = endpoints.TCP4ClientEndpoint(reactor, host, port, timeout=1)
+        self.upstream = endpoints.TCP4ClientEndpoint(reactor, host, port, timeout=1)
         self._open: set[_Side] = set()
 
-    def buildProtocol(self, addr: object) -> "_Near":  # noqa: N802
-        """Return the VM's side of a new connection."""
-        return _Near(self)
+    def buildProtocol(self, addr: object) -> "_DownstreamSide":  # noqa: N802
+        """Return the downstream side of a new connection."""
+        return _DownstreamSide(self)
 
     def reset(self) -> None:
         """Reset all connections."""
         for side in list(self._open):
             side.abort()
 
-    def opened(self, side: "_Side") -> None:
-        """Note one side of a connection."""
+    def add_side(self, side: "_Side") -> None:
+        """Register one side of an open connection."""
         self._open.add(side)
 
-    def closed(self, side: "_Side") -> None:
-        """Drop one side of a connection."""
+    def remove_side(self, side: "_Side") -> None:
+        """Remove one side of a closed connection."""
         self._open.discard(side)
 
 
@@ -55,14 +62,14 @@
     def __init__(self, proxy: Proxy) -> None:
         self.proxy = proxy
         self.other: _Side | None = None
-        self._waiting = bytearray()
-        self._last_s = 0.0
+        self._buffer = bytearray()
+        self._last_write_s = 0.0
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.proxy.opened(self)
+        self.proxy.add_side(self)
 
     def connectionLost(self, reason: typing.Any = protocol.connectionDone) -> None:  # noqa: N802
-        self.proxy.closed(self)
+        self.proxy.remove_side(self)
         if self.other is not None:
             self.other.abort()
 
@@ -70,45 +77,49 @@
         if self.transport is not None:
             typing.cast(typing.Any, self.transport).abortConnection()
 
-    def join(self, other: "_Side") -> None:
+    def pair(self, other: "_Side") -> None:
         self.other = other
-        waiting, self._waiting = bytes(self._waiting), bytearray()
-        if waiting:
-            self.dataReceived(waiting)
+        buffered, self._buffer = bytes(self._buffer), bytearray()
+        if buffered:
+            self.dataReceived(buffered)
 
-    def passes(self) -> bool:
+    def forwards(self) -> bool:
         raise NotImplementedError
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        if not self.passes():
+        if not self.forwards():
             return
         if self.other is None:
-            self._waiting += data[:BUFFER_BYTES]
+            self._buffer += data[:BUFFER_BYTES]
             return
-        # Bytes never overtake each other, also when the delay ends.
+        # Bytes are delivered in order, also when the delay becomes shorter.
         now_s = self.proxy.reactor.seconds()
-        self._last_s = max(self._last_s, now_s + self.proxy.mood.delay_s)
-        self.proxy.reactor.callLater(self._last_s - now_s, self._pass_on, data)
+        self._last_write_s = max(
+            self._last_write_s, now_s + self.proxy.impairment.delay_s
+        )
+        self.proxy.reactor.callLater(self._last_write_s - now_s, self._forward, data)
 
-    def _pass_on(self, data: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         if self.other is not None and self.other.transport is not None:
             typing.cast(typing.Any, self.other.transport).write(data)
 
 
-class _Near(_Side):
+class _DownstreamSide(_Side):
     def connectionMade(self) -> None:  # noqa: N802
         super().connectionMade()
-        connecting = endpoints.connectProtocol(self.proxy.store, _Far(self.proxy))
-        connecting.addCallbacks(self._joined, lambda _: self.abort())
+        connecting = endpoints.connectProtocol(
+            self.proxy.upstream, _UpstreamSide(self.proxy)
+        )
+        connecting.addCallbacks(self._connected, lambda _: self.abort())
 
-    def passes(self) -> bool:
-        return self.proxy.mood.forward
+    def forwards(self) -> bool:
+        return self.proxy.impairment.forwards_upstream
 
-    def _joined(self, far: "_Far") -> None:
-        far.join(self)
-        self.join(far)
+    def _connected(self, upstream: "_UpstreamSide") -> None:
+        upstream.pair(self)
+        self.pair(upstream)
 
 
-class _Far(_Side):
-    def passes(self) -> bool:
-        return self.proxy.mood.back
+class _UpstreamSide(_Side):
+    def forwards(self) -> bool:
+        return self.proxy.impairment.forwards_downstream
--- a/eelgrasswick/soak/run.py
+++ b/eelgrasswick/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak run: the programs, their load, the faults and the verdict."""
+"""A soak run: its programs, the load, the faults and the verdict."""
 
 import pathlib
 import random
@@ -24,31 +24,32 @@
     proxy,
 )
 
-# A machine with as many cores as a laptop starts two processes a second or more.
-START_S: typing.Final = 20.0
-START_EACH_S: typing.Final = 0.5
-# A killed process is started again after this, as the platform does.
-RESTART_S: typing.Final = 1.0
-TICK_S: typing.Final = 0.02
-PROBE_S: typing.Final = 0.5
-# After the load: callers' time limits run out, and what came late is seen.
+# A run allows START_TIMEOUT_S and this time for each process until all are ready. A
+# machine with as many cores as a laptop starts two or more processes per second.
+START_TIMEOUT_S: typing.Final = 20.0
+START_TIMEOUT_PER_PROCESS_S: typing.Final = 0.5
+# A process that ended is restarted within this time, as the platform does.
+MAX_RESTART_DELAY_S: typing.Final = 1.0
+CALLER_TICK_S: typing.Final = 0.02
+READINESS_PROBE_INTERVAL_S: typing.Final = 0.5
+# After the load, pending requests reach their timeouts and late events are recorded.
 SETTLE_S: typing.Final = 4.0
 TARGET_SLOTS: typing.Final = 2
-LONG: typing.Final = 0.5
+LONG_FLOW_SHARE: typing.Final = 0.5
 
 
 class Options(typing.NamedTuple):
-    """What a run is like.
+    """Options of a run.
 
     Attributes:
-        seed: Decides all faults and the load.
-        duration_s: Length of the load.
+        seed: Seed of the faults and the load.
+        duration_s: Duration of the load in seconds.
         vms: Number of entry VMs.
         targets: Number of targets.
-        flows_per_s: New flows each second.
+        flows_per_s: Number of new flows per second.
         faults: Number of faults.
-        kinds: What the faults are drawn from.
-        plot: Where a picture of the run goes; None for none.
+        kinds: Kinds from which the faults are drawn.
+        plot: Output file for a chart of the run; None for no chart.
     """
 
     seed: int
@@ -62,7 +63,18 @@
 
 
 class Verdict(typing.NamedTuple):
-    """What a run came to."""
+    """Result of a run.
+
+    Attributes:
+        seed: Seed of the run.
+        flows: Number of flows that the callers began to open.
+        answered: Number of requests that were answered in full.
+        lost: Number of flows that timed out, while opening or during a request.
+        reset: Number of open flows that were reset.
+        refused: Number of flows that were reset before they were open.
+        served_at_end: Share of the requests at the end that were answered.
+        breaches: All violations of invariants.
+    """
 
     seed: int
     flows: int
@@ -75,12 +87,12 @@
 
     @property
     def passed(self) -> bool:
-        """True when every promise was kept."""
+        """True if no invariant was violated."""
         return not self.breaches
 
     @property
     def line(self) -> str:
-        """The verdict as one line."""
+        """The verdict as one line of ``key=value`` pairs."""
         counts = " ".join(f"{k}={v}" for k, v in self._asdict().items())
         counts = counts.partition(" breaches=")[0]
         word = "passed" if self.passed else "FAILED"
@@ -88,12 +100,12 @@
 
 
 class Run:
-    """Starts everything, carries the faults out and checks what was seen."""
+    """Starts the programs, injects the faults and checks the recorded events."""
 
     def __init__(
         self, reactor: typing.Any, block: int, options: Options, folder: pathlib.Path
     ) -> None:
-        """Prepare a run whose logs and events go to a folder."""
+        """Prepare a run whose logs and events are written to a folder."""
         self._reactor = reactor
         self._options = options
         self._folder = folder
@@ -105,16 +117,16 @@
         self._vms: list[processes.Process] = []
         self._targets: list[processes.Process] = []
         self._store: processes.Process | None = None
-        self._proxies: list[proxy.Proxy] = []
+        self._store_proxies: list[proxy.Proxy] = []
         self._operator = operator.Operator(
             reactor, self._layout.store_address, self._events.append
         )
-        self._actions = actions.Actions(
+        self._injector = actions.FaultInjector(
             reactor,
-            actions.Parts(
+            actions.Components(
                 self._vms,
                 self._targets,
-                self._proxies,
+                self._store_proxies,
                 self._peers,
                 self._fabric,
                 self._operator,
@@ -122,48 +134,57 @@
             self._events.append,
         )
         self._ports: list[typing.Any] = self._peers.ports
-        self._begun_s = 0.0
+        self._load_start_s = 0.0
         self._flows = 0
 
-    async def play(self) -> Verdict:
-        """Play the run to its end."""
-        # A run that is stopped by a signal never gets to its end; left alone, its
-        # processes would keep the addresses that the next run reserves.
-        stopped = self._reactor.addSystemEventTrigger(
-            "before", "shutdown", self.end_processes
+    async def execute(self) -> Verdict:
+        """Execute the run, and return its verdict.
+
+        Raises:
+            TimeoutError: The programs were not ready in time.
+        """
+        # A run that is stopped by a signal does not reach its end. Without this
+        # trigger its processes would go on and use the addresses that the next run
+        # reserves.
+        trigger = self._reactor.addSystemEventTrigger(
+            "before", "shutdown", self.stop_processes
         )
         try:
             await self._start()
             await self._load()
         finally:
-            self._reactor.removeSystemEventTrigger(stopped)
-            await self._end()
+            self._reactor.removeSystemEventTrigger(trigger)
+            await self._stop()
         return self._verdict()
 
     async def _start(self) -> None:
         store_host, _, store_port = self._layout.store_address.rpartition(":")
-        self._store = processes.store(self._layout.store_address, self._folder)
+        self._store = processes.start_store(self._layout.store_address, self._folder)
         for number in range(self._options.vms):
-            made = proxy.Proxy(self._reactor, store_host, int(store_port))
-            self._proxies.append(made)
+            store_proxy = proxy.Proxy(self._reactor, store_host, int(store_port))
+            self._store_proxies.append(store_proxy)
             host = self._layout.store_proxy_ip(number)
-            port = self._reactor.listenTCP(layout.STORE_PORT, made, interface=host)
+            port = self._reactor.listenTCP(
+                layout.STORE_PORT, store_proxy, interface=host
+            )
             self._ports.append(port)
-        await self._until(self._operator.configure)
+        await self._wait_until(self._operator.write_config)
         for number in range(self._options.targets):
             settings = self._target_settings(number)
-            self._targets.append(processes.target(settings, self._folder))
+            self._targets.append(processes.start_target(settings, self._folder))
         for number in range(self._options.vms):
-            ini = self._layout.vm_settings(number, self._peers.aliases)
-            self._vms.append(processes.entry_vm(f"vm{number}", ini, self._folder))
+            settings_text = self._layout.vm_settings(number, self._peers.aliases)
+            self._vms.append(
+                processes.start_entry_vm(f"vm{number}", settings_text, self._folder)
+            )
         for number in range(self._layout.callers):
             self._add_caller(self._layout.caller_ip(number))
-        await self._until(self._all_ready)
+        await self._wait_until(self._all_ready)
 
     def _add_caller(self, host: str) -> None:
-        made = caller.Caller(host, self._fabric.send, self._events.append)
-        self._fabric.callers[host] = made
-        port = self._reactor.listenUDP(layout.DATA_PORT, made, host, 4096)
+        new_caller = caller.Caller(host, self._fabric.send, self._events.append)
+        self._fabric.callers[host] = new_caller
+        port = self._reactor.listenUDP(layout.DATA_PORT, new_caller, host, 4096)
         self._ports.append(port)
 
     def _target_settings(self, number: int) -> dict[str, typing.Any]:
@@ -181,7 +202,7 @@
         }
 
     async def _load(self) -> None:
-        self._begun_s = time.monotonic()
+        self._load_start_s = time.monotonic()
         drawn = faults.draw(
             self._options.seed,
             self._options.duration_s,
@@ -189,73 +210,80 @@
             self._options.kinds,
         )
         loops = [
-            (task.LoopingCall(self._tick), TICK_S),
-            (task.LoopingCall(self._probe), PROBE_S),
-            (task.LoopingCall(self._restart), RESTART_S / 2),
-            (task.LoopingCall(self._open), 1 / self._options.flows_per_s),
+            (task.LoopingCall(self._tick_callers), CALLER_TICK_S),
+            (task.LoopingCall(self._probe_readiness), READINESS_PROBE_INTERVAL_S),
+            (task.LoopingCall(self._restart_ended), MAX_RESTART_DELAY_S / 2),
+            (task.LoopingCall(self._open_flow), 1 / self._options.flows_per_s),
         ]
-        for loop, every_s in loops:
-            loop.start(every_s)
+        for loop, interval_s in loops:
+            loop.start(interval_s)
         for item in drawn:
-            self._reactor.callLater(item.at_s, self._actions.carry_out, item)
+            self._reactor.callLater(item.at_s, self._injector.inject, item)
         await self._sleep(self._options.duration_s)
         loops[-1][0].stop()
         await self._sleep(SETTLE_S)
         for loop, _ in loops[:-1]:
             loop.stop()
 
-    def _open(self) -> None:
+    def _open_flow(self) -> None:
         self._flows += 1
         host = self._rng.choice(sorted(self._fabric.callers))
-        ports = [443, 443, 444, *self._operator.added[-3:]]
+        ports = [443, 443, 444, *self._operator.added_ports[-3:]]
         port = self._rng.choice(ports)
-        long = self._rng.random() < LONG
-        plan = caller.Plan(
+        long = self._rng.random() < LONG_FLOW_SHARE
+        plan = caller.FlowPlan(
             layout.SERVICE_IP,
             port,
             self._rng.randrange(3, 9) if long else 1,
             2000 if port != 444 else 40_000,
             self._rng.uniform(0.1, 1.0),
         )
-        self._fabric.callers[host].begin(plan)
+        self._fabric.callers[host].open_flow(plan)
 
-    def _tick(self) -> None:
+    def _tick_callers(self) -> None:
         now_s = time.monotonic()
         for item in self._fabric.callers.values():
             item.tick(now_s)
 
-    def _restart(self) -> None:
-        # What ended is started again; a target begins a new incarnation.
+    def _restart_ended(self) -> None:
+        # A target that is restarted begins a new incarnation.
         for item in (*self._vms, *self._targets):
             if not item.alive:
-                self._actions.note("restart", item.name, str(item.exit_code))
+                self._injector.record("restart", item.name, str(item.exit_code))
                 item.start()
 
-    def _probe(self) -> None:
-        defer.ensureDeferred(self._look_who_is_ready())
+    def _probe_readiness(self) -> None:
+        defer.ensureDeferred(self._update_rotation())
 
-    async def _look_who_is_ready(self) -> int:
+    async def _update_rotation(self) -> int:
         hosts = [self._layout.vm_ip(number) for number in range(self._options.vms)]
-        answers = await defer.gatherResults([self._ready(host) for host in hosts])
-        ready = [host for host, yes in zip(hosts, answers, strict=True) if yes]
+        answers = await defer.gatherResults([self._is_ready(host) for host in hosts])
+        ready = [
+            host for host, is_ready in zip(hosts, answers, strict=True) if is_ready
+        ]
+        # The fabric fails open: all VMs get packets if less than half are ready.
         self._fabric.rotation = ready if 2 * len(ready) >= len(hosts) else hosts
         return len(ready)
 
-    def _ready(self, host: str) -> "defer.Deferred[bool]":
+    def _is_ready(self, host: str) -> "defer.Deferred[bool]":
         url = f"http://{host}:{layout.READY_PORT}{names.READY_PATH}"
         call = treq.get(url, timeout=0.4, persistent=False)
         call.addCallback(lambda response: bool(response.code == 200))
         return typing.cast("defer.Deferred[bool]", call.addErrback(lambda _: False))
 
     async def _all_ready(self) -> bool:
-        return await self._look_who_is_ready() == self._options.vms
+        return await self._update_rotation() == self._options.vms
 
-    async def _until(self, done: typing.Callable[[], typing.Any]) -> None:
+    async def _wait_until(self, done: typing.Callable[[], typing.Any]) -> None:
         processes_started = self._options.vms + self._options.targets
-        limit_s = time.monotonic() + START_S + START_EACH_S * processes_started
+        deadline_s = (
+            time.monotonic()
+            + START_TIMEOUT_S
+            + START_TIMEOUT_PER_PROCESS_S * processes_started
+        )
         while not await done():
-            if time.monotonic() > limit_s:
-                raise TimeoutError("the programs do not start")
+            if time.monotonic() > deadline_s:
+                raise TimeoutError("the programs were not ready within the time limit")
             await self._sleep(0.2)
 
     def _sleep(self, duration_s: float) -> "defer.Deferred[None]":
@@ -263,18 +291,18 @@
         self._reactor.callLater(duration_s, done.callback, None)
         return done
 
-    def end_processes(self) -> None:
-        """End what this run has started, also when it is stopped midway."""
-        known = (*self._vms, *self._targets, self._store)
-        running = [item for item in known if item is not None]
+    def stop_processes(self) -> None:
+        """Kill all processes of this run, also when it is interrupted."""
+        started = (*self._vms, *self._targets, self._store)
+        running = [item for item in started if item is not None]
         for item in running:
             item.signal(signal.SIGCONT)
             item.signal(signal.SIGKILL)
         for item in running:
-            item.end()
+            item.stop()
 
-    async def _end(self) -> None:
-        self.end_processes()
+    async def _stop(self) -> None:
+        self.stop_processes()
         for port in self._ports:
             await defer.maybeDeferred(port.stopListening)
 
@@ -289,7 +317,7 @@
         count = {
             kind: sum(item.kind is kind for item in events) for kind in history.Kind
         }
-        end_s = self._begun_s + self._options.duration_s
+        end_s = self._load_start_s + self._options.duration_s
         served = history.served_share(events, end_s)
         return Verdict(
             self._options.seed,
--- a/eelgrasswick/soak/store.py
+++ b/eelgrasswick/soak/store.py
@@ -1,4 +1,8 @@
-"""A stand-in for the platform's store, as a process that a run starts."""
+"""A stand-in for the platform's store, which a run starts as a process.
+
+Paths that begin with ``/own/`` belong to the stand-in: targets and the operator write
+through them, and a run sets faults.
+"""
 
 import base64
 import json
@@ -11,12 +15,19 @@
 
 from eelgrasswick.platform import names
 
-HISTORY: typing.Final = 2000
-TTL_S: typing.Final = 3.6
+MAX_HISTORY_ITEMS: typing.Final = 2000
+# A target's entry expires when the target has not written it for this time.
+ENTRY_TTL_S: typing.Final = 3.6
 
 
 class Item(typing.NamedTuple):
-    """A key at its last change; no value when it was deleted."""
+    """A change of a key.
+
+    Attributes:
+        key: The key.
+        value: Value of the key; None if the change deleted it.
+        revision: Revision of the store at the change.
+    """
 
     key: str
     value: bytes | None
@@ -24,22 +35,41 @@
 
 
 class Store:
-    """Keys, their history, and what is wrong with the store at present."""
+    """Keys, the history of their changes, and the present faults of the store.
+
+    Attributes:
+        revision: Revision of the last change.
+        items: Present keys by name.
+        history: Changes after compacted_revision, oldest first.
+        compacted_revision: Last revision that is no longer in the history.
+        waiting_watches: Deferreds of the watches that wait for a change.
+        written_s: Monotonic time of the last write of each target's entry.
+        fault: Fault of all requests of VMs: ``silent``, ``busy`` or ``reset``; empty
+            for none. Any of them also refuses writes of targets' entries.
+        refused_hosts: IP addresses whose requests are refused.
+        delay_s: Delay of each response to a VM in seconds.
+    """
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty store without faults."""
         self.revision = 1
         self.items: dict[str, Item] = {}
         self.history: list[Item] = []
-        self.forgotten = 0
-        self.waiting: list[defer.Deferred[None]] = []
-        self.heard_s: dict[str, float] = {}
+        self.compacted_revision = 0
+        self.waiting_watches: list[defer.Deferred[None]] = []
+        self.written_s: dict[str, float] = {}
         self.fault = ""
-        self.refused: frozenset[str] = frozenset()
+        self.refused_hosts: frozenset[str] = frozenset()
         self.delay_s = 0.0
 
     def put(self, key: str, value: bytes | None) -> int:
-        """Write or delete a key; a value that is there already changes nothing."""
+        """Write a key, or delete it if the value is None.
+
+        Writing the present value of a key changes nothing.
+
+        Returns:
+            The revision of the store.
+        """
         present = self.items.get(key)
         if (present.value if present is not None else None) == value:
             return self.revision
@@ -50,76 +80,76 @@
             del self.items[key]
         else:
             self.items[key] = item
-        if len(self.history) > HISTORY:
-            self.forgotten = self.history.pop(0).revision
-        self.wake()
+        if len(self.history) > MAX_HISTORY_ITEMS:
+            self.compacted_revision = self.history.pop(0).revision
+        self.complete_watches()
         return self.revision
 
-    def wake(self) -> None:
-        """Answer the watches that wait."""
-        waiting, self.waiting = self.waiting, []
+    def complete_watches(self) -> None:
+        """Complete all waiting watches."""
+        waiting, self.waiting_watches = self.waiting_watches, []
         for item in waiting:
             item.callback(None)
 
-    def forget(self) -> None:
-        """Drop the history."""
+    def drop_history(self) -> None:
+        """Drop the history of changes, so that older watches get status 410."""
         self.history.clear()
-        self.forgotten = self.revision
-        self.wake()
+        self.compacted_revision = self.revision
+        self.complete_watches()
 
     def expire(self) -> None:
-        """Delete the entries of servers that were not heard for long."""
+        """Delete the entries that their targets have not written for ENTRY_TTL_S."""
         now_s = time.monotonic()
-        for key, at_s in list(self.heard_s.items()):
-            if now_s - at_s > TTL_S and key in self.items:
+        for key, at_s in list(self.written_s.items()):
+            if now_s - at_s > ENTRY_TTL_S and key in self.items:
                 self.put(key, None)
-                del self.heard_s[key]
+                del self.written_s[key]
 
 
-class Calls(resource.Resource):
-    """The store's calls, those of the servers and operators, and faults."""
+class StoreResource(resource.Resource):
+    """Serves the requests of VMs, targets and the operator, and sets faults."""
 
     isLeaf = True  # noqa: N815
 
-    def __init__(self, kept: Store) -> None:
+    def __init__(self, store: Store) -> None:
         """Serve a store."""
         super().__init__()
-        self._store = kept
+        self._store = store
 
     def render(self, request: server.Request) -> typing.Any:
-        """Answer a call; the deferred work ends the request."""
-        done = defer.Deferred.fromCoroutine(self._answer(request))
+        """Start processing a request; a coroutine finishes it later."""
+        done = defer.Deferred.fromCoroutine(self._respond(request))
         done.addErrback(lambda failure: print(failure, file=sys.stderr, flush=True))
         return server.NOT_DONE_YET
 
-    async def _answer(self, request: server.Request) -> None:
+    async def _respond(self, request: server.Request) -> None:
         path = request.path.decode()
-        gone = request.notifyFinish()
-        gone.addErrback(lambda _: None)
-        own = path.startswith("/own/")
-        if not own and self._blocked(request):
+        finished = request.notifyFinish()
+        finished.addErrback(lambda _: None)
+        is_own = path.startswith("/own/")
+        if not is_own and self._apply_fault(request):
             return
-        if self._store.delay_s and not own:
+        if self._store.delay_s and not is_own:
             await _sleep(self._store.delay_s)
-        status, body = await self._call(path, request)
+        status, body = await self._dispatch(path, request)
         if request.finished or request.channel is None:
             return
         request.setResponseCode(status)
         request.write(json.dumps(body).encode())
         request.finish()
 
-    def _blocked(self, request: server.Request) -> bool:
+    def _apply_fault(self, request: server.Request) -> bool:
         fault = self._store.fault
-        if request.getClientAddress().host in self._store.refused:
+        if request.getClientAddress().host in self._store.refused_hosts:
             fault = fault or "busy"
         if fault == "busy":
             request.setResponseCode(503)
             request.finish()
         elif fault == "reset":
-            _known(request.transport).abortConnection()
+            _untyped(request.transport).abortConnection()
         return bool(fault)
 
-    async def _call(self, path: str, request: server.Request) -> tuple[int, object]:
+    async def _dispatch(self, path: str, request: server.Request) -> tuple[int, object]:
         if path == names.RANGE_PATH:
             return 200, self._range()
         if path == names.WATCH_PATH:
@@ -128,41 +158,43 @@
             return self._entry(request)
         if path == "/own/config":
             return 200, self._store.put(
-                names.CONFIG_KEY, _known(request.content).read()
+                names.CONFIG_KEY, _untyped(request.content).read()
             )
         if path == "/own/evacuation":
-            return self._evacuation(json.loads(_known(request.content).read()))
+            return self._evacuation(json.loads(_untyped(request.content).read()))
         if path == "/own/fault":
-            return self._fault(json.loads(_known(request.content).read()))
+            return self._fault(json.loads(_untyped(request.content).read()))
         return 404, {}
 
     def _range(self) -> object:
-        items = [_shown(item) for item in self._store.items.values()]
+        items = [_encoded(item) for item in self._store.items.values()]
         revision = self._store.revision
         return {"items": items, "has_more": False, "store_revision": revision}
 
     async def _watch(self, request: server.Request) -> tuple[int, object]:
         after = int(request.args[b"after"][0])
-        if after < self._store.forgotten:
+        if after < self._store.compacted_revision:
             return 410, {}
         if self._store.revision <= after:
             waiting: defer.Deferred[None] = defer.Deferred()
-            self._store.waiting.append(waiting)
+            self._store.waiting_watches.append(waiting)
             wait_s = int(request.args[b"wait_ms"][0]) / 1000
             waiting.addTimeout(wait_s, reactor, onTimeoutCancel=lambda *_: None)
             await waiting
-        if after < self._store.forgotten:
+        if after < self._store.compacted_revision:
             return 410, {}
-        events = [_shown(item) for item in self._store.history if item.revision > after]
+        events = [
+            _encoded(item) for item in self._store.history if item.revision > after
+        ]
         return 200, {"events": events, "store_revision": self._store.revision}
 
     def _entry(self, request: server.Request) -> tuple[int, object]:
         if self._store.fault:
             return 503, {}
         key = request.args[b"key"][0].decode()
-        value = _known(request.content).read()
+        value = _untyped(request.content).read()
         if value:
-            self._store.heard_s[key] = time.monotonic()
+            self._store.written_s[key] = time.monotonic()
         return 200, self._store.put(key, value or None)
 
     def _evacuation(self, body: dict[str, typing.Any]) -> tuple[int, object]:
@@ -172,21 +204,21 @@
     def _fault(self, body: dict[str, typing.Any]) -> tuple[int, object]:
         self._store.fault = body.get("fault", "")
         self._store.delay_s = body.get("delay_s", 0.0)
-        self._store.refused = frozenset(body.get("refused", ()))
+        self._store.refused_hosts = frozenset(body.get("refused", ()))
         if body.get("forget"):
-            self._store.forget()
+            self._store.drop_history()
         return 200, {}
 
 
-def _shown(item: Item) -> dict[str, typing.Any]:
+def _encoded(item: Item) -> dict[str, typing.Any]:
     if item.value is None:
         return {"key": item.key, "revision": item.revision, "deleted": True}
     text = base64.b64encode(item.value).decode()
     return {"key": item.key, "value": text, "revision": item.revision, "lease": 0}
 
 
-def _known(part: typing.Any) -> typing.Any:
-    return part
+def _untyped(value: typing.Any) -> typing.Any:
+    return value
 
 
 def _sleep(duration_s: float) -> "defer.Deferred[None]":
@@ -196,13 +228,15 @@
 
 
 def main() -> None:
-    """Serve on the address that the command line names."""
+    """Serve a store on the address that the command line gives as ``ip:port``."""
     host, _, port = sys.argv[1].rpartition(":")
-    kept = Store()
-    running = typing.cast(typing.Any, reactor)
-    running.listenTCP(int(port), server.Site(Calls(kept)), interface=host)
-    task.LoopingCall(kept.expire).start(0.2)
-    running.run()
+    store = Store()
+    untyped_reactor = typing.cast(typing.Any, reactor)
+    untyped_reactor.listenTCP(
+        int(port), server.Site(StoreResource(store)), interface=host
+    )
+    task.LoopingCall(store.expire).start(0.2)
+    untyped_reactor.run()
 
 
 if __name__ == "__main__":
--- a/eelgrasswick/soak/target.py
+++ b/eelgrasswick/soak/target.py
@@ -1,4 +1,4 @@
-"""A stand-in for one server, as a process that a run starts."""
+"""A stand-in for a target, which a run starts as a process."""
 
 import collections
 import http
@@ -18,19 +18,33 @@
 from eelgrasswick.platform import names
 from eelgrasswick.soak import history, layout
 
-HEARTBEAT_S: typing.Final = 1.2
-RESEND_S: typing.Final = 0.2
-WINDOW: typing.Final = 16
+HEARTBEAT_INTERVAL_S: typing.Final = 1.2
+RETRANSMIT_TIMEOUT_S: typing.Final = 0.2
+WINDOW_PACKETS: typing.Final = 16
+# Each datagram of a VM begins with the token of a target, or with 0 for any target.
 TOKEN_BYTES: typing.Final = 8
-IDLE_S: typing.Final = 60.0
-# After SIGTERM a target serves on for the drain bound and a little longer.
-SERVE_S: typing.Final = 4.0
+IDLE_TIMEOUT_S: typing.Final = 60.0
+# After SIGTERM a target serves for slightly longer than the drain limit of 3 s.
+DRAIN_SERVE_S: typing.Final = 4.0
 
-_Key = tuple[bytes, int, bytes, int]
+_FlowKey = tuple[bytes, int, bytes, int]
 
 
 class Settings(typing.TypedDict):
-    """What the command line gives a target, as JSON."""
+    """Settings of a target, which are given as JSON on the command line.
+
+    Attributes:
+        name: Name of the target: a prefix, a hyphen and its token in hexadecimal.
+        service: Name of its service.
+        zone: Availability zone of the target.
+        host: IP address on which it listens.
+        port: Port for datagrams of the VMs, and for their connections.
+        caller_port: Port to which packets for callers are sent.
+        store: Address of the store as ``ip:port``.
+        events: Path of the file to which events are appended.
+        slots: Number of requests that are executed at the same time.
+        work_ms: Mean duration of a request.
+    """
 
     name: str
     service: str
@@ -45,48 +59,73 @@
 
 
 class Flow:
-    """One flow at this end."""
-
-    def __init__(self, first: packets.Packet, start: int) -> None:
-        """Begin with the caller's opening packet."""
+    """The target's end of a flow.
+
+    Attributes:
+        first: The SYN packet that created the flow.
+        initial_sequence: Sequence number of the target's SYN-ACK.
+        cookie: Cookie of the caller's last packet that had one.
+        open: True once the caller has acknowledged the SYN-ACK.
+        expected: Sequence number of the next byte from the caller.
+        sent: Sequence number of the next byte to send.
+        acknowledged: Sequence number up to which the caller has acknowledged.
+        request: Received bytes that are not yet a complete request line.
+        response: Response bytes that are sent or to be sent.
+        response_start: Sequence number of the first byte of response.
+        seen_s: Monotonic time of the last packet from the caller.
+        sent_s: Monotonic time at which response bytes were last sent.
+    """
+
+    def __init__(self, first: packets.Packet, initial_sequence: int) -> None:
+        """Create a flow from the caller's SYN packet."""
         self.first = first
-        self.start = start
-        self.echo = first.echo
+        self.initial_sequence = initial_sequence
+        self.cookie = first.echo
         self.open = False
         self.expected = first.sequence + 1
-        self.sent = start + 1
-        self.acknowledged = start + 1
+        self.sent = initial_sequence + 1
+        self.acknowledged = initial_sequence + 1
         self.request = b""
-        self.answer = b""
-        self.answer_from = start + 1
+        self.response = b""
+        self.response_start = initial_sequence + 1
         self.seen_s = time.monotonic()
         self.sent_s = 0.0
 
 
 class Target(protocol.DatagramProtocol):
-    """Takes flows, runs requests and answers callers directly."""
+    """Accepts flows, executes requests and responds to callers directly.
+
+    Attributes:
+        draining: True once the target has begun to drain.
+        started_ms: Wall-clock time at which this incarnation started.
+    """
 
     def __init__(self, settings: Settings) -> None:
-        """Serve by some settings."""
+        """Create a target without flows."""
         self._settings = settings
-        self._flows: dict[_Key, Flow] = {}
-        self._queue: collections.deque[tuple[Flow, str, int]] = collections.deque()
-        self._busy = 0
+        self._flows: dict[_FlowKey, Flow] = {}
+        self._queued_requests: collections.deque[tuple[Flow, str, int]] = (
+            collections.deque()
+        )
+        self._running_requests = 0
         self._events = pathlib.Path(settings["events"])
         self._token = int(settings["name"].partition("-")[2], 16)
         self._rng = random.Random()
         self.draining = False
-        self.born_ms = time.time_ns() // 1_000_000
+        self.started_ms = time.time_ns() // 1_000_000
         self._sequence = 0
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:  # noqa: N802
-        """Take a datagram that an entry VM passed on."""
+        """Process a datagram that an entry VM forwarded.
+
+        Datagrams with the token of another target are dropped.
+        """
         token = int.from_bytes(datagram[:TOKEN_BYTES], "big")
         if token not in (0, self._token):
             return
         item = packets.decode(datagram[TOKEN_BYTES:])
         if item is None:
-            self._note(history.Kind.FAULT, detail="a packet was changed on its way")
+            self._record(history.Kind.FAULT, detail="a packet was changed on its way")
             return
         key = (item.source, item.source_port, item.destination, item.destination_port)
         flow = self._flows.get(key)
@@ -98,20 +137,23 @@
         elif item.flags & packets.RST:
             del self._flows[key]
         else:
-            self._take(flow, item)
+            self._receive(flow, item)
 
     def tick(self) -> None:
-        """Send again what was not acknowledged, and forget idle flows."""
+        """Retransmit unacknowledged data, and remove idle flows."""
         now_s = time.monotonic()
         for key, flow in list(self._flows.items()):
-            if flow.acknowledged < flow.sent and now_s - flow.sent_s >= RESEND_S:
+            if (
+                flow.acknowledged < flow.sent
+                and now_s - flow.sent_s >= RETRANSMIT_TIMEOUT_S
+            ):
                 flow.sent = flow.acknowledged
-                self._push(flow)
-            if now_s - flow.seen_s > IDLE_S:
+                self._send_data(flow)
+            if now_s - flow.seen_s > IDLE_TIMEOUT_S:
                 del self._flows[key]
 
     def entry(self) -> bytes:
-        """Return what this target writes to the store."""
+        """Return the entry that this target writes to the store, as JSON."""
         settings = self._settings
         body = {
             "service": settings["service"],
@@ -120,97 +162,106 @@
             "version": "v1",
             "concurrency": settings["slots"],
             "state": "draining" if self.draining else "ready",
-            "cold_remaining_ms": self._cold_ms(),
+            "cold_remaining_ms": self._cold_remaining_ms(),
             "sequence": self._sequence,
-            "born": self.born_ms,
+            "born": self.started_ms,
         }
         return json.dumps(body).encode()
 
-    def _cold_ms(self) -> int:
+    def _cold_remaining_ms(self) -> int:
         if self._settings["service"] != layout.COLD_SERVICE:
             return 0
-        age_ms = time.time_ns() // 1_000_000 - self.born_ms
+        age_ms = time.time_ns() // 1_000_000 - self.started_ms
         return max(0, int(1000 * layout.COLD_START_S) - age_ms)
 
-    def note_life(self, kind: history.Kind) -> None:
-        """Write that this incarnation begins, drains or ends."""
-        self._note(kind, detail=self._settings["zone"])
+    def record_lifecycle(self, kind: history.Kind) -> None:
+        """Record that this incarnation begins, drains or ends."""
+        self._record(kind, detail=self._settings["zone"])
 
-    def _open(self, key: _Key, flow: Flow | None, item: packets.Packet) -> None:
+    def _open(self, key: _FlowKey, flow: Flow | None, item: packets.Packet) -> None:
         if flow is None:
             flow = Flow(item, self._rng.randrange(1, 2**31))
             self._flows[key] = flow
-        flow.echo = item.echo
+        flow.cookie = item.echo
         flags = packets.SYN | packets.ACK
-        self._send(item, flags, flow.start, flow.first.sequence + 1, b"", flow.echo)
+        self._send(
+            item,
+            flags,
+            flow.initial_sequence,
+            flow.first.sequence + 1,
+            b"",
+            flow.cookie,
+        )
 
-    def _take(self, flow: Flow, item: packets.Packet) -> None:
-        flow.echo = item.echo or flow.echo
+    def _receive(self, flow: Flow, item: packets.Packet) -> None:
+        flow.cookie = item.echo or flow.cookie
         flow.seen_s = time.monotonic()
         if not flow.open:
-            if item.acknowledged != flow.start + 1:
-                # The caller opened the flow at another target.
+            if item.acknowledged != flow.initial_sequence + 1:
+                # The caller has opened the flow with another target.
                 self._send(item, packets.RST, item.acknowledged, 0, b"")
                 return
             flow.open = True
-            self._note(history.Kind.OPENED, item, detail=self._settings["service"])
+            self._record(history.Kind.OPENED, item, detail=self._settings["service"])
         if flow.acknowledged < item.acknowledged <= flow.sent:
             flow.acknowledged = item.acknowledged
-            self._push(flow)
+            self._send_data(flow)
         if item.sequence == flow.expected and item.data:
             flow.expected += len(item.data)
             flow.request += item.data
-            self._requests(flow)
+            self._parse_requests(flow)
         if item.data or item.flags & packets.FIN:
             self._acknowledge(flow)
 
-    def _requests(self, flow: Flow) -> None:
+    def _parse_requests(self, flow: Flow) -> None:
         while b"\n" in flow.request:
             line, _, flow.request = flow.request.partition(b"\n")
             request, _, size = line.decode().partition(" ")
-            self._queue.append((flow, request, int(size)))
-        self._work()
-
-    def _work(self) -> None:
-        while self._queue and self._busy < self._settings["slots"]:
-            self._busy += 1
-            flow, request, size_bytes = self._queue.popleft()
-            answer = history.expected_response(request, size_bytes)
-            self._note(
+            self._queued_requests.append((flow, request, int(size)))
+        self._run_queued()
+
+    def _run_queued(self) -> None:
+        while (
+            self._queued_requests and self._running_requests < self._settings["slots"]
+        ):
+            self._running_requests += 1
+            flow, request, size_bytes = self._queued_requests.popleft()
+            response = history.expected_response(request, size_bytes)
+            self._record(
                 history.Kind.RAN,
                 flow.first,
                 request=request,
-                detail=history.response_digest(answer),
+                detail=history.response_digest(response),
             )
             delay_s = self._settings["work_ms"] / 1000 * self._rng.uniform(0.5, 1.5)
             typing.cast(typing.Any, reactor).callLater(
-                delay_s, self._done, flow, answer
+                delay_s, self._finish_request, flow, response
             )
 
-    def _done(self, flow: Flow, answer: bytes) -> None:
-        self._busy -= 1
-        unsent = flow.answer[flow.acknowledged - flow.answer_from :]
-        flow.answer = unsent + answer
-        flow.answer_from = flow.acknowledged
-        self._push(flow)
-        self._work()
+    def _finish_request(self, flow: Flow, response: bytes) -> None:
+        self._running_requests -= 1
+        unacknowledged = flow.response[flow.acknowledged - flow.response_start :]
+        flow.response = unacknowledged + response
+        flow.response_start = flow.acknowledged
+        self._send_data(flow)
+        self._run_queued()
 
-    def _push(self, flow: Flow) -> None:
-        end = flow.answer_from + len(flow.answer)
+    def _send_data(self, flow: Flow) -> None:
+        end = flow.response_start + len(flow.response)
         while flow.sent < end:
-            if flow.sent - flow.acknowledged >= WINDOW * packets.MAX_DATA_BYTES:
+            if flow.sent - flow.acknowledged >= WINDOW_PACKETS * packets.MAX_DATA_BYTES:
                 return
-            at = flow.sent - flow.answer_from
-            part = flow.answer[at : at + packets.MAX_DATA_BYTES]
+            offset = flow.sent - flow.response_start
+            part = flow.response[offset : offset + packets.MAX_DATA_BYTES]
             self._send(
-                flow.first, packets.ACK, flow.sent, flow.expected, part, flow.echo
+                flow.first, packets.ACK, flow.sent, flow.expected, part, flow.cookie
             )
             flow.sent += len(part)
             flow.sent_s = time.monotonic()
 
     def _acknowledge(self, flow: Flow) -> None:
         sent = flow.sent
-        self._send(flow.first, packets.ACK, sent, flow.expected, b"", flow.echo)
+        self._send(flow.first, packets.ACK, sent, flow.expected, b"", flow.cookie)
 
     def _send(
         self,
@@ -219,7 +270,7 @@
         sequence: int,
         acknowledged: int,
         data: bytes,
-        echo: int = 0,
+        cookie: int = 0,
     ) -> None:
         raw = packets.encode(
             packets.Packet(
@@ -230,14 +281,14 @@
                 flags,
                 sequence,
                 acknowledged,
-                echo,
+                cookie,
                 data,
             )
         )
         address = (socket.inet_ntoa(item.source), self._settings["caller_port"])
         typing.cast(typing.Any, self.transport).write(raw, address)
 
-    def _note(
+    def _record(
         self,
         kind: history.Kind,
         item: packets.Packet | None = None,
@@ -250,63 +301,68 @@
         history.write(self._events, event)
 
 
-class Life:
-    """One incarnation of a target: its entry in the store, and its end."""
+class Lifecycle:
+    """Keeps the store entry of one incarnation of a target, and ends the target."""
 
     def __init__(self, settings: Settings, target: Target) -> None:
-        """Keep a target's entry up."""
+        """Create the lifecycle of a target, whose entry is not written yet."""
         self._target = target
         self._url = f"http://{settings['store']}/own/entry?key="
         self._url += names.TARGET_PREFIX + settings["name"]
 
-    def beat(self) -> typing.Any:
-        """Write the entry; a store that is away is tried at the next beat."""
+    def send_heartbeat(self) -> typing.Any:
+        """Write the entry to the store; the next heartbeat retries a failed write.
+
+        Returns:
+            A Deferred of whether the store accepted the entry.
+        """
         call = treq.put(self._url, self._target.entry(), timeout=0.5)
         return call.addCallback(_accepted).addErrback(lambda _: False)
 
     def drain(self, serve_s: float) -> None:
-        """Say that it leaves, serve on for a while, then end."""
+        """Write that the target drains, serve for a time in seconds, then end."""
         self._target.draining = True
-        self._say_draining()
+        self._write_draining()
         typing.cast(typing.Any, reactor).callLater(serve_s, self._end)
 
-    def _say_draining(self) -> None:
-        def told(accepted: bool) -> None:
+    def _write_draining(self) -> None:
+        def record_drained(accepted: bool) -> None:
             if accepted:
-                self._target.note_life(history.Kind.DRAINED)
+                self._target.record_lifecycle(history.Kind.DRAINED)
 
-        self.beat().addCallback(told)
+        self.send_heartbeat().addCallback(record_drained)
 
     def _end(self) -> None:
-        self._target.note_life(history.Kind.ENDED)
+        self._target.record_lifecycle(history.Kind.ENDED)
         call = treq.put(self._url, b"", timeout=0.5)
         call.addBoth(lambda _: typing.cast(typing.Any, reactor).stop())
 
 
 def _accepted(response: typing.Any) -> typing.Any:
-    taken = treq.content(response)
-    return taken.addCallback(lambda _: response.code == http.HTTPStatus.OK)
+    reading = treq.content(response)
+    return reading.addCallback(lambda _: response.code == http.HTTPStatus.OK)
 
 
 def main() -> None:
-    """Serve by the settings that the command line gives."""
+    """Serve as a target with the settings that the command line gives."""
     settings: Settings = json.loads(sys.argv[1])
     target = Target(settings)
-    life = Life(settings, target)
-    running = typing.cast(typing.Any, reactor)
-    running.listenUDP(settings["port"], target, settings["host"], 4096)
-    running.listenTCP(
+    lifecycle = Lifecycle(settings, target)
+    untyped_reactor = typing.cast(typing.Any, reactor)
+    untyped_reactor.listenUDP(settings["port"], target, settings["host"], 4096)
+    untyped_reactor.listenTCP(
         settings["port"],
         protocol.Factory.forProtocol(protocol.Protocol),
         interface=settings["host"],
     )
-    target.note_life(history.Kind.BEGUN)
-    task.LoopingCall(life.beat).start(HEARTBEAT_S)
-    task.LoopingCall(target.tick).start(RESEND_S / 4)
+    target.record_lifecycle(history.Kind.BEGUN)
+    task.LoopingCall(lifecycle.send_heartbeat).start(HEARTBEAT_INTERVAL_S)
+    task.LoopingCall(target.tick).start(RETRANSMIT_TIMEOUT_S / 4)
     signal.signal(
-        signal.SIGTERM, lambda *_: running.callFromThread(life.drain, SERVE_S)
+        signal.SIGTERM,
+        lambda *_: untyped_reactor.callFromThread(lifecycle.drain, DRAIN_SERVE_S),
     )
-    running.run(installSignalHandlers=False)
+    untyped_reactor.run(installSignalHandlers=False)
 
 
 if __name__ == "__main__":
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak run of the real programs."""
+"""Short soak runs of the real programs."""
 
 import pathlib
 import subprocess
@@ -6,8 +6,8 @@
 import time
 
 
-def test_short_run_keeps_all_promises() -> None:
-    """Faults overlap on six entry VMs, nine targets and a store for 12 s."""
+def test_short_run_violates_no_invariant() -> None:
+    """A fault in a 12 s run with six entry VMs and nine targets breaks an invariant."""
     command = [sys.executable, "-m", "eelgrasswick.soak", "--seed", "2"]
     command += ["--duration-s", "12", "--faults", "6"]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
@@ -15,17 +15,16 @@
     assert "breaches=0" in done.stdout
 
 
-def test_stopped_run_leaves_no_process() -> None:
-    """Somebody stops a run midway.
+def test_run_that_is_stopped_midway_leaves_no_process() -> None:
+    """Processes that survive a stopped run would invalidate the next run.
 
-    Processes that go on would hold the addresses which the next run uses, and its
-    verdict would be about nothing.
+    They would hold the loopback addresses that the next run uses.
     """
     command = [sys.executable, "-m", "eelgrasswick.soak", "--seed", "2"]
     with subprocess.Popen(command, stdout=subprocess.DEVNULL) as running:
         children: list[int] = []
-        limit_s = time.monotonic() + 30
-        while len(children) < 5 and time.monotonic() < limit_s:
+        deadline_s = time.monotonic() + 30
+        while len(children) < 5 and time.monotonic() < deadline_s:
             time.sleep(0.1)
             children = _children(running.pid)
         assert len(children) >= 5
--- a/tests/test_soak_peer_links.py
+++ b/tests/test_soak_peer_links.py
@@ -1,4 +1,4 @@
-"""The links between the entry VMs of a run, and faults on them."""
+"""Links between the entry VMs of a soak run, and faults on them."""
 
 import random
 import typing
@@ -11,7 +11,7 @@
 
 
 class _Reactor(task.Clock):
-    """A clock that opens no sockets."""
+    """A clock whose listening calls open no sockets."""
 
     def listenUDP(self, *_: object) -> None:  # noqa: N802
         """Open nothing."""
@@ -20,15 +20,15 @@
         """Open nothing."""
 
 
-class _Passed(typing.NamedTuple):
+class _Network(typing.NamedTuple):
     clock: task.Clock
     links: peer_links.PeerLinks
     arrived: list[tuple[bytes, tuple[str, int]]]
 
 
 @pytest.fixture
-def passed(monkeypatch: pytest.MonkeyPatch) -> _Passed:
-    """Return links of six VMs in three zones, and what arrives over them."""
+def network(monkeypatch: pytest.MonkeyPatch) -> _Network:
+    """Return the links of six VMs in three zones, and the datagrams that arrive."""
     arrived: list[tuple[bytes, tuple[str, int]]] = []
 
     def send(_: object, raw: bytes, address: tuple[str, int]) -> None:
@@ -37,17 +37,18 @@
     monkeypatch.setattr(peer_links._AliasSocket, "send", send)
     clock = _Reactor()
     links = peer_links.PeerLinks(clock, layout.Layout(9, 6, 1, 1), random.Random(1))
-    return _Passed(clock, links, arrived)
+    return _Network(clock, links, arrived)
 
 
-def _talk(item: _Passed, sender: int, to: int) -> bool:
-    item.arrived.clear()
-    item.links.forward(b"x", f"127.9.1.{sender + 1}", to)
-    item.clock.advance(1)
-    return bool(item.arrived)
+def _reaches(network: _Network, sender: int, to: int) -> bool:
+    network.arrived.clear()
+    network.links.forward(b"x", f"127.9.1.{sender + 1}", to)
+    network.clock.advance(1)
+    return bool(network.arrived)
 
 
-def test_aliases_sort_as_the_addresses_do() -> None:
+def test_aliases_have_the_checksum_order_of_the_addresses() -> None:
+    """With another order, VMs would disagree on which of them watches the store."""
     hosts = [f"127.9.1.{number + 1}" for number in range(60)]
     names = peer_links.choose_aliases(9, hosts)
     assert len(set(names)) == 60
@@ -56,47 +57,47 @@
     assert [hosts.index(host) for host in own] == [names.index(n) for n in known]
 
 
-def test_datagrams_reach_the_other_vm(passed: _Passed) -> None:
-    assert _talk(passed, 0, 1)
-    assert passed.arrived == [(b"x", ("127.9.1.2", layout.PEER_PORT))]
+def test_datagram_without_a_fault_reaches_the_other_vm(network: _Network) -> None:
+    assert _reaches(network, 0, 1)
+    assert network.arrived == [(b"x", ("127.9.1.2", layout.PEER_PORT))]
 
 
-def test_vm_never_hears_itself(passed: _Passed) -> None:
-    assert not _talk(passed, 2, 2)
+def test_datagram_of_a_vm_to_itself_is_dropped(network: _Network) -> None:
+    assert not _reaches(network, 2, 2)
 
 
-def test_strangers_are_not_passed_on(passed: _Passed) -> None:
-    assert not _talk(passed, 7, 2)
+def test_datagram_from_an_unknown_address_is_dropped(network: _Network) -> None:
+    assert not _reaches(network, 7, 2)
 
 
-def test_mute_vm_still_hears_the_others(passed: _Passed) -> None:
-    """A link that carries packets one way only: a VM hears and is not heard."""
-    passed.links.blocked_senders.add(0)
-    assert not _talk(passed, 0, 1)
-    assert _talk(passed, 1, 0)
+def test_blocked_sender_still_receives_datagrams(network: _Network) -> None:
+    """A one-way fault: datagrams reach the VM, and those that it sends are dropped."""
+    network.links.blocked_senders.add(0)
+    assert not _reaches(network, 0, 1)
+    assert _reaches(network, 1, 0)
 
 
-def test_deaf_vm_is_still_heard(passed: _Passed) -> None:
-    """The other way: a VM's questions arrive, and no answer comes back."""
-    passed.links.blocked_receivers.add(0)
-    assert _talk(passed, 0, 1)
-    assert not _talk(passed, 1, 0)
+def test_datagrams_of_a_blocked_receiver_still_arrive(network: _Network) -> None:
+    """A one-way fault: requests of the VM arrive, and responses to it are dropped."""
+    network.links.blocked_receivers.add(0)
+    assert _reaches(network, 0, 1)
+    assert not _reaches(network, 1, 0)
 
 
-def test_zone_that_is_cut_off_talks_among_itself(passed: _Passed) -> None:
-    """All links between one zone and the others go away at once."""
-    passed.links.isolated_vms = frozenset({0, 3})
-    assert _talk(passed, 0, 3)
-    assert _talk(passed, 1, 2)
-    assert not _talk(passed, 0, 1)
-    assert not _talk(passed, 2, 3)
+def test_isolated_vms_reach_only_each_other(network: _Network) -> None:
+    """All links between one zone and the others fail at the same time."""
+    network.links.isolated_vms = frozenset({0, 3})
+    assert _reaches(network, 0, 3)
+    assert _reaches(network, 1, 2)
+    assert not _reaches(network, 0, 1)
+    assert not _reaches(network, 2, 3)
 
 
-def test_links_that_lose_everything_pass_nothing(passed: _Passed) -> None:
-    passed.links.impairment = peer_links.Impairment(loss_share=1.0)
-    assert not _talk(passed, 0, 1)
+def test_loss_of_all_datagrams_delivers_none(network: _Network) -> None:
+    network.links.impairment = peer_links.Impairment(loss_share=1.0)
+    assert not _reaches(network, 0, 1)
 
 
-def test_late_datagrams_still_arrive(passed: _Passed) -> None:
-    passed.links.impairment = peer_links.Impairment(max_delay_s=0.4)
-    assert _talk(passed, 0, 1)
+def test_delayed_datagram_arrives(network: _Network) -> None:
+    network.links.impairment = peer_links.Impairment(max_delay_s=0.4)
+    assert _reaches(network, 0, 1)
