--- a/eelgrasswick/soak/history.py
+++ b/eelgrasswick/soak/history.py
@@ -18,17 +18,17 @@
 # A cold target may get up to this number of new flows in any window of this length.
 MAX_COLD_FLOWS: typing.Final = 5
 COLD_WINDOW_S: typing.Final = 1.0
-# Loopback and busy machines add this delay to each limit.
+# Each limit is extended by this time, for the delays of loopback and busy machines.
 TOLERANCE_S: typing.Final = 0.7
 # No new fault begins in the last seconds of a run, and at least this share of the
 # requests that end in them must be answered.
 RECOVERY_WINDOW_S: typing.Final = 4.0
 MIN_SERVED_SHARE: typing.Final = 0.5
 
-
 # The detail of a RESET or REFUSED event names the sender of the reset.
 RESET_BY_VM: typing.Final = "by a VM"
 RESET_BY_TARGET: typing.Final = "by a target"
+# Kind of the fault that suspends a target.
 PAUSE_FAULT: typing.Final = "target_pause"
 # A pause lasts up to 4 s, and late resets by the target are allowed for 4 s after it.
 PAUSE_EFFECT_S: typing.Final = 8.0
@@ -174,7 +174,13 @@
     if share >= MIN_SERVED_SHARE:
         return []
     last = max(events, key=lambda item: item.at_s)
-    return [Violation("recovery", last, f"only {share:.2f} are answered at the end")]
+    return [
+        Violation(
+            "recovery",
+            last,
+            f"only {share:.2f} of the requests at the end were answered",
+        )
+    ]
 
 
 def _check_single_execution(
@@ -186,7 +192,9 @@
             continue
         if item.request in executed:
             yield Violation(
-                "at most once", item, f"ran before: {executed[item.request]}"
+                "at most once",
+                item,
+                f"the request was executed before: {executed[item.request]}",
             )
         executed[item.request] = item
 
@@ -198,9 +206,13 @@
             continue
         source = executed.get(item.request)
         if source is None:
-            yield Violation("own answer", item, "no target ran it")
+            yield Violation("own answer", item, "no target executed the request")
         elif source.detail != item.detail:
-            yield Violation("whole answer", item, f"the target sent {source.detail}")
+            yield Violation(
+                "whole answer",
+                item,
+                f"the target sent a response with digest {source.detail}",
+            )
 
 
 def _check_services(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
@@ -212,7 +224,9 @@
             port = item.flow.partition(">")[2]
             if services.get(port) != item.detail:
                 yield Violation(
-                    "right service", item, f"the route is {services.get(port)}"
+                    "right service",
+                    item,
+                    f"the route leads to service {services.get(port)}",
                 )
 
 
@@ -226,7 +240,9 @@
         elif item.kind is Kind.OPENED and item.who in drained_s:
             late_s = item.at_s - drained_s[item.who]
             if late_s > DRAIN_LIMIT_S + TOLERANCE_S:
-                yield Violation("drain", item, f"{late_s:.2f} s after it said so")
+                yield Violation(
+                    "drain", item, f"{late_s:.2f} s after the drain was confirmed"
+                )
 
 
 def _check_evacuations(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
@@ -241,7 +257,11 @@
             zone = zones.get(item.who, "")
             late_s = item.at_s - evacuated_s.get(zone, item.at_s)
             if late_s > EVACUATION_LIMIT_S + TOLERANCE_S:
-                yield Violation("evacuation", item, f"{zone}, {late_s:.2f} s after it")
+                yield Violation(
+                    "evacuation",
+                    item,
+                    f"{zone}, {late_s:.2f} s after the evacuation was confirmed",
+                )
 
 
 def _check_cold_targets(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
@@ -260,7 +280,7 @@
         while item.at_s - recent[0] >= COLD_WINDOW_S:
             recent.popleft()
         if len(recent) > MAX_COLD_FLOWS:
-            yield Violation("cold", item, f"{len(recent)} flows in a second")
+            yield Violation("cold", item, f"{len(recent)} flows within one second")
 
 
 def _check_routes(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
@@ -276,11 +296,19 @@
         if item.kind is Kind.OPENED and port in dropped_s:
             late_s = item.sent_s - dropped_s[port]
             if late_s > CONFIG_LIMIT_S + TOLERANCE_S:
-                yield Violation("config", item, f"dropped {late_s:.2f} s before")
+                yield Violation(
+                    "config",
+                    item,
+                    f"flow begun {late_s:.2f} s after the route was dropped",
+                )
         if item.kind is Kind.REFUSED and port in added_s and port not in dropped_s:
             late_s = item.sent_s - added_s[port]
             if late_s > CONFIG_LIMIT_S + TOLERANCE_S:
-                yield Violation("config", item, f"added {late_s:.2f} s before")
+                yield Violation(
+                    "config",
+                    item,
+                    f"flow begun {late_s:.2f} s after the route was added",
+                )
 
 
 def _check_open_flows(events: typing.Sequence[Event]) -> typing.Iterator[Violation]:
@@ -310,7 +338,9 @@
             continue
         source = opened.get(item.flow)
         if source is not None and _alive(lifetimes[source.who], source.at_s, item.at_s):
-            yield Violation("open flow", item, f"its target {source.who} lives")
+            yield Violation(
+                "open flow", item, f"target {source.who} of the flow still runs"
+            )
 
 
 def _soon_after_pause(pauses_s: typing.Sequence[float], at_s: float) -> bool:
--- a/eelgrasswick/soak/operator.py
+++ b/eelgrasswick/soak/operator.py
@@ -12,7 +12,7 @@
 TIMEOUT_S: typing.Final = 1.0
 # Service ports of the routes that are added during a run start here.
 FIRST_ADDED_PORT: typing.Final = 500
-_COLD_SERVICE: typing.Final = {
+_COLD_START_SETTINGS: typing.Final = {
     "name": layout.COLD_SERVICE,
     "cold_start_s": layout.COLD_START_S,
     "cold_per_s": layout.COLD_FLOWS_PER_S,
@@ -20,7 +20,7 @@
 
 
 class Operator:
-    """Changes routes and evacuates zones; a change counts once the store confirms it.
+    """Changes routes and evacuates zones; the store's response confirms a change.
 
     Attributes:
         added_ports: Service ports of all routes that were added during the run.
@@ -40,7 +40,7 @@
         self._routes = {443: "desk", 444: "vault"}
         self._confirmed_routes: dict[int, str] = {}
         self._version = 0
-        self._evacuated = ""
+        self._evacuated_zone = ""
 
     def add_route(self) -> None:
         """Add a route."""
@@ -58,9 +58,9 @@
 
     def evacuate(self, zone: str) -> bool:
         """Evacuate a zone; return False if one is evacuated already."""
-        if self._evacuated:
+        if self._evacuated_zone:
             return False
-        self._evacuated = zone
+        self._evacuated_zone = zone
         defer.ensureDeferred(self._evacuate(zone))
         return True
 
@@ -70,7 +70,7 @@
         The event is recorded before the store confirms the change, because targets
         of the zone may get flows as soon as the change is written.
         """
-        self._evacuated = ""
+        self._evacuated_zone = ""
         self._on_event(history.Event(time.monotonic(), history.Kind.TAKEN_BACK, zone))
         defer.ensureDeferred(self._post("evacuation", {"zone": zone, "over": True}))
 
@@ -89,7 +89,11 @@
         self._version += 1
         wanted = dict(self._routes)
         routes = [_route(port, service) for port, service in wanted.items()]
-        body = {"version": self._version, "routes": routes, "services": [_COLD_SERVICE]}
+        body = {
+            "version": self._version,
+            "routes": routes,
+            "services": [_COLD_START_SETTINGS],
+        }
         for port in wanted.keys() - self._confirmed_routes.keys():
             # Callers may reach a new route as soon as the store has it, which is
             # before the operator receives the confirmation.
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -16,10 +16,7 @@
 
 
 def test_run_that_is_stopped_midway_leaves_no_process() -> None:
-    """Processes that survive a stopped run would invalidate the next run.
-
-    They would hold the loopback addresses that the next run uses.
-    """
+    """Processes that survive a stopped run hold addresses that the next run uses."""
     command = [sys.executable, "-m", "eelgrasswick.soak", "--seed", "2"]
     with subprocess.Popen(command, stdout=subprocess.DEVNULL) as running:
         children: list[int] = []
