--- a/eelgrasswick/soak/run.py
+++ b/eelgrasswick/soak/run.py
@@ -24,8 +24,9 @@
     proxy,
 )
 
-# A run allows START_TIMEOUT_S and this time for each process until all are ready. A
-# machine with as many cores as a laptop starts two or more processes per second.
+# A run waits START_TIMEOUT_S, and START_TIMEOUT_PER_PROCESS_S for each process, until
+# all are ready. A machine with as many cores as a laptop starts two or more processes
+# per second.
 START_TIMEOUT_S: typing.Final = 20.0
 START_TIMEOUT_PER_PROCESS_S: typing.Final = 0.5
 # A process that ended is restarted within this time, as the platform does.
