--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -22,7 +22,7 @@
     placement,
 )
 from eelgrasswick.fleet import (
-    keeper,
+    config_sync,
     member,
     membership,
     peer,
@@ -75,7 +75,7 @@
         self.outbox = message.Outbox()
         self.peers = peer.Peers(self.outbox)
         self.membership = membership.Membership(me, seeds, self.peers, self.outbox, rng)
-        self.keeper = keeper.ConfigSync(me.name, self.peers, self.outbox)
+        self.keeper = config_sync.ConfigSync(me.name, self.peers, self.outbox)
         self.tables = tables.Tables(
             epoch.EpochLog(EPOCH_WINDOW_MS),
             flow.FlowTable(),
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -16,7 +16,7 @@
     wire,
 )
 from eelgrasswick.fleet import (
-    keeper,
+    config_sync,
     membership,
 )
 from eelgrasswick.homes import tables
@@ -53,7 +53,7 @@
     def __init__(
         self,
         shared: tables.Tables,
-        kept: keeper.ConfigSync,
+        kept: config_sync.ConfigSync,
         fleet: membership.Membership,
     ) -> None:
         """Create an explainer that reads the parts of an engine."""
--- a/eelgrasswick/trials/capacity_table.py
+++ b/eelgrasswick/trials/capacity_table.py
@@ -3,8 +3,8 @@
 import typing
 
 from eelgrasswick.fleet import (
+    config_sync,
     gossip,
-    keeper,
 )
 from eelgrasswick.homes import epoch
 
@@ -320,7 +320,7 @@
 
 def _platform_costs(slopes: Slopes) -> list[Cost]:
     def reports(size: Size) -> float:
-        regular = size.zones * 1000 / keeper.REPORT_INTERVAL_MS
+        regular = size.zones * 1000 / config_sync.REPORT_INTERVAL_MS
         changed = size.zones * size.changes_per_day / DAY_S
         return (regular + changed) * CALLS_PER_REPORT
 
--- a/tests/test_keeper.py
+++ b/tests/test_config_sync.py
@@ -10,7 +10,7 @@
     wire,
 )
 from eelgrasswick.fleet import (
-    keeper,
+    config_sync,
     member,
     peer,
 )
@@ -29,7 +29,7 @@
         self.me = self.vm("me", 1)
         self.others = [self.vm(f"vm{n}", n) for n in range(2, 9)]
         self.peers.set_members([self.me, *self.others])
-        self.keeper = keeper.ConfigSync("me", self.peers, self.outbox)
+        self.keeper = config_sync.ConfigSync("me", self.peers, self.outbox)
         self.keeper.offer(NOW_MS, self.value(5), "store")
         self.outbox.take()
 
@@ -148,7 +148,7 @@
     ]
     count = 0
     for me in fleet:
-        own = keeper.ConfigSync(me.name, local.peers, local.outbox)
+        own = config_sync.ConfigSync(me.name, local.peers, local.outbox)
         own.tick(NOW_MS, me, [me], {})
         own.tick(NOW_MS + since_ms, me, fleet, {})
         count += own.watching
@@ -161,17 +161,20 @@
 ) -> None:
     # All VMs start at the same time after a power failure. If each one watched
     # until one serves, the platform would get as many calls as there are VMs.
-    assert watchers(local, state, keeper.PEER_DISCOVERY_MS) == keeper.WATCHERS_PER_ZONE
+    assert (
+        watchers(local, state, config_sync.PEER_DISCOVERY_MS)
+        == config_sync.WATCHERS_PER_ZONE
+    )
 
 
 def test_starting_vm_watches_only_after_the_peer_discovery_time(
     local: LocalConfig,
 ) -> None:
-    own = keeper.ConfigSync("me", local.peers, local.outbox)
+    own = config_sync.ConfigSync("me", local.peers, local.outbox)
     joining = local.me._replace(state=member.MemberState.JOINING)
     own.tick(NOW_MS, joining, [joining], {})
     assert not own.watching
-    own.tick(NOW_MS + keeper.PEER_DISCOVERY_MS, joining, [joining], {})
+    own.tick(NOW_MS + config_sync.PEER_DISCOVERY_MS, joining, [joining], {})
     assert own.watching
 
 
@@ -180,11 +183,13 @@
 ) -> None:
     # All VMs start at the same time, and each has only itself as a member of its
     # zone. If each reported at once, the platform would get a call from every VM.
-    own = keeper.ConfigSync("me", local.peers, local.outbox)
+    own = config_sync.ConfigSync("me", local.peers, local.outbox)
     own.tick(NOW_MS, local.me, [local.me], {})
     own.offer(NOW_MS, local.value(5), "store")
     own.tick(NOW_MS + 1000, local.me, [local.me], {})
     assert local.taken(message.ReportInForce) == []
     own.offer(NOW_MS + 1000, local.value(6), "store")
-    own.tick(NOW_MS + 1000 + keeper.REPORT_AFTER_CHANGE_MS, local.me, [local.me], {})
+    own.tick(
+        NOW_MS + 1000 + config_sync.REPORT_AFTER_CHANGE_MS, local.me, [local.me], {}
+    )
     assert len(local.taken(message.ReportInForce)) == 1
