--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -21,7 +21,7 @@
     member,
     peer,
     probe,
-    turn,
+    round_robin,
     unheard,
 )
 
@@ -74,7 +74,7 @@
         self._peers = peers
         self._outbox = outbox
         self._rng = rng
-        self._ping_order = turn.ShuffledRoundRobin(rng)
+        self._ping_order = round_robin.ShuffledRoundRobin(rng)
         self._probes = probe.Probes()
         self._suspicion_ends_ms: dict[str, int] = {}
         self._names_by_address: dict[packet.Address, str] = {}
