--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -21,8 +21,8 @@
     member,
     peer,
     probe,
+    reconnect,
     round_robin,
-    unheard,
 )
 
 PROBE_PERIOD_MS: typing.Final = 200
@@ -70,7 +70,7 @@
         self.sequences: dict[str, int] = {}
         self.changed = True
         self.sequence = 0
-        self._candidates = unheard.ReconnectCandidates(seeds)
+        self._candidates = reconnect.ReconnectCandidates(seeds)
         self._peers = peers
         self._outbox = outbox
         self._rng = rng
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,7 +14,7 @@
     member,
     membership,
     peer,
-    unheard,
+    reconnect,
 )
 from tests import world
 
@@ -215,7 +215,7 @@
     # they would fill the memory and use up the pings meant for VMs that come back.
     local = LocalMember(vm("a", 1))
     local.ping(vm("a", 1), vm("b", 2), vm("b", 2, DEAD))
-    for _ in range(unheard.GONE_RETENTION_MS // 60_000 + 2):
+    for _ in range(reconnect.GONE_RETENTION_MS // 60_000 + 2):
         local.now_ms += 60_000
         local.run(50)
     assert local.state("b") is None
