--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -16,8 +16,8 @@
     wire,
 )
 from eelgrasswick.fleet import (
-    contact,
     gossip,
+    join_condition,
     member,
     peer,
     probe,
@@ -82,7 +82,7 @@
         self._next_ping_ms = 0
         self._next_reconnect_ms = 0
         self._last_event_ms: int | None = None
-        self._join_condition = contact.JoinCondition()
+        self._join_condition = join_condition.JoinCondition()
         self._leaving_since_ms: int | None = None
 
     @property
