--- a/eelgrasswick/soak/plot.py
+++ b/eelgrasswick/soak/plot.py
@@ -3,7 +3,7 @@
 import pathlib
 import typing
 
-from eelgrasswick import picture
+from eelgrasswick import chart
 from eelgrasswick.soak import history
 
 BIN_S: typing.Final = 0.5
@@ -39,13 +39,13 @@
     """
     begun_s = min(item.at_s for item in events)
     parts = [
-        picture.Series(kind.value, _COLORS[kind], by_bin)
+        chart.Series(kind.value, _COLORS[kind], by_bin)
         for kind, by_bin in counts(events, begun_s).items()
     ]
     faults = [item for item in events if item.kind is history.Kind.FAULT]
     times_s = [item.at_s - begun_s for item in faults]
     marks = [
-        picture.Mark(item.detail.split()[0], at_s, at_s)
+        chart.Mark(item.detail.split()[0], at_s, at_s)
         for item, at_s in zip(faults, times_s, strict=True)
     ]
-    picture.draw(path, title, BIN_S, parts, marks)
+    chart.draw(path, title, BIN_S, parts, marks)
--- a/eelgrasswick/trials/trial_overload.py
+++ b/eelgrasswick/trials/trial_overload.py
@@ -4,7 +4,7 @@
 import pathlib
 import typing
 
-from eelgrasswick import errors, picture
+from eelgrasswick import chart, errors
 from eelgrasswick.emulation import open_load, open_scenario
 from eelgrasswick.platform import segments
 
@@ -100,7 +100,7 @@
         counts[sort][item.asked_ms // BIN_MS] += 1
     bins = range(load.length_ms // BIN_MS)
     parts = [
-        picture.Series(sort, color, [counts[sort][number] for number in bins])
+        chart.Series(sort, color, [counts[sort][number] for number in bins])
         for sort, color in (
             ("in_time", "tab:green"),
             ("late", "tab:orange"),
@@ -108,7 +108,7 @@
         )
     ]
     marks = [
-        picture.Mark(item.kind, item.at_ms / 1000, item.until_ms / 1000)
+        chart.Mark(item.kind, item.at_ms / 1000, item.until_ms / 1000)
         for item in load.troubles
     ]
-    picture.draw(path, title, BIN_MS / 1000, parts, marks)
+    chart.draw(path, title, BIN_MS / 1000, parts, marks)
--- a/eelgrasswick/trials/trial_steering.py
+++ b/eelgrasswick/trials/trial_steering.py
@@ -4,7 +4,7 @@
 import pathlib
 import typing
 
-from eelgrasswick import errors, picture
+from eelgrasswick import chart, errors
 from eelgrasswick.emulation import cookie_load, cookie_scenario
 from eelgrasswick.platform import segments
 
@@ -97,13 +97,13 @@
     """
     colors = ("tab:green", "tab:orange", "tab:red")
     parts = [
-        picture.Series(label, color, counts)
+        chart.Series(label, color, counts)
         for label, color, counts in zip(
             Second._fields, colors, zip(*seconds, strict=True), strict=True
         )
     ]
     marks = [
-        picture.Mark(item.kind, item.at_ms / 1000, item.until_ms / 1000)
+        chart.Mark(item.kind, item.at_ms / 1000, item.until_ms / 1000)
         for item in load.troubles
     ]
-    picture.draw(path, title, BIN_MS / 1000, parts, marks)
+    chart.draw(path, title, BIN_MS / 1000, parts, marks)
