--- a/eelgrasswick/emulation/virtual_fleet.py
+++ b/eelgrasswick/emulation/virtual_fleet.py
@@ -261,7 +261,7 @@
         actions = vm.engine.feed(round(self.now_ms), event)
         vm.cpu_ns += time.thread_time_ns() - before_ns
         vm.feeds += 1
-        vm.in_force_ms.setdefault(vm.engine.keeper.sequence, self.now_ms)
+        vm.in_force_ms.setdefault(vm.engine.config_sync.sequence, self.now_ms)
         for action in actions:
             self._do(vm, action)
 
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -75,7 +75,7 @@
         self.outbox = message.Outbox()
         self.peers = peer.Peers(self.outbox)
         self.membership = membership.Membership(me, seeds, self.peers, self.outbox, rng)
-        self.keeper = config_sync.ConfigSync(me.name, self.peers, self.outbox)
+        self.config_sync = config_sync.ConfigSync(me.name, self.peers, self.outbox)
         self.tables = tables.Tables(
             epoch.EpochLog(EPOCH_WINDOW_MS),
             flow.FlowTable(),
@@ -90,7 +90,9 @@
         self.home = home.Home(me.name, self.tables, self.opener)
         self.switch = switch.Switch(me.name, codec, self.tables, self.home)
         self.rehomer = rehome.Rehomer(me.name, self.tables)
-        self._explainer = explain.Explainer(self.tables, self.keeper, self.membership)
+        self._explainer = explain.Explainer(
+            self.tables, self.config_sync, self.membership
+        )
         self._report_ms = 0
         self._emptiness = emptiness.EmptyTargets(self.tables)
         self._discard_until_ms = 0
@@ -117,7 +119,7 @@
             case message.LinkReceived():
                 self._link(now_ms, event)
             case message.StoreRead():
-                self.keeper.store_read(now_ms, event.value)
+                self.config_sync.store_read(now_ms, event.value)
             case message.VmsListed():
                 self.membership.update_listing(event.members)
             case message.StoreFailed():
@@ -193,7 +195,7 @@
                 )
 
     def _record_peer_sequence(self, now_ms: int, item: wire.Ping | wire.Ack) -> None:
-        self.keeper.request_if_newer(now_ms, item.sender.name, item.sequence)
+        self.config_sync.request_if_newer(now_ms, item.sender.name, item.sequence)
         self.tables.epochs.note_sequence(item.sequence)
 
     def _handle_unknown_sender(
@@ -226,9 +228,9 @@
             case wire.LoadReport():
                 self.tables.loads.record(now_ms, sender, item)
             case wire.ConfigResponse():
-                self.keeper.offer(now_ms, item.value, sender)
+                self.config_sync.offer(now_ms, item.value, sender)
             case wire.ConfigRequest():
-                self.keeper.send_if_newer(sender, item)
+                self.config_sync.send_if_newer(sender, item)
             case _:
                 raise errors.MessageInvalidError(
                     "message must come in a datagram, not over a link"
@@ -279,8 +281,8 @@
     # Periodic work, and reactions to changes of configuration or membership.
 
     def _tick(self, now_ms: int) -> None:
-        self.membership.tick(now_ms, self.keeper.current is not None)
-        self.keeper.tick(
+        self.membership.tick(now_ms, self.config_sync.current is not None)
+        self.config_sync.tick(
             now_ms,
             self.membership.me,
             self.membership.members,
@@ -307,7 +309,9 @@
             return
         self._report_ms = now_ms + LOAD_REPORT_INTERVAL_MS
         serving = [item.name for item in self.membership.others.values() if item.serves]
-        self._emptiness.check(now_ms, self.membership.me, self.keeper.watching, serving)
+        self._emptiness.check(
+            now_ms, self.membership.me, self.config_sync.watching, serving
+        )
         counts = self.tables.flows.open_by_target
         recent = self.opener.chooser.work.recent_tenths(now_ms)
         report = load.report(counts, recent)
@@ -315,15 +319,15 @@
             self.peers.send_link(name, report)
 
     def _apply_changes(self, now_ms: int) -> None:
-        if not (self.membership.changed or self.keeper.changed):
+        if not (self.membership.changed or self.config_sync.changed):
             return
-        announce = self.keeper.changed
+        announce = self.config_sync.changed
         self.membership.changed = False
-        self.keeper.changed = False
-        self.membership.sequence = self.keeper.sequence
+        self.config_sync.changed = False
+        self.membership.sequence = self.config_sync.sequence
         self.peers.set_members(self.membership.members)
-        if self.keeper.current is not None:
-            self._begin_epoch(now_ms, self.keeper.current)
+        if self.config_sync.current is not None:
+            self._begin_epoch(now_ms, self.config_sync.current)
         if announce:
             self.membership.announce(ANNOUNCE_FAN_OUT)
 
--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -132,7 +132,7 @@
     # A home reports the targets on which it has flows. One flow per target at
     # each VM makes every report whole.
     for index, vm in enumerate(fleet.vms):
-        current = vm.engine.keeper.current
+        current = vm.engine.config_sync.current
         assert current is not None
         for number, item in enumerate(current.targets.values()):
             key = packet_path.flow(index * 64 + number, item.endpoint)
--- a/eelgrasswick/trials/packet_socket.py
+++ b/eelgrasswick/trials/packet_socket.py
@@ -187,7 +187,7 @@
         # VM's.
         state = member.MemberState.ALIVE
         other = member.Member(OTHER, ZONE, _OTHER_IP, 6081, 6082, 1, 1, state)
-        sequence = self._engine.keeper.sequence
+        sequence = self._engine.config_sync.sequence
         ping = wire.Ping(0, other, sequence, ())
         self._other.sendto(wire.encode(ping), (_IP, 6081))
         for payload in _received(self._other):
--- a/eelgrasswick/trials/trial_spread.py
+++ b/eelgrasswick/trials/trial_spread.py
@@ -88,7 +88,7 @@
     fleet.put_rules(virtual_fleet.document(sequence, f"{text}# change {sequence}\n"))
 
     def lacking() -> int:
-        return sum(vm.engine.keeper.sequence < sequence for vm in fleet.vms)
+        return sum(vm.engine.config_sync.sequence < sequence for vm in fleet.vms)
 
     fleet.run_until(lambda: not lacking(), LIMIT_MS)
     last_ms = max(vm.in_force_ms.get(sequence, fleet.now_ms) for vm in fleet.vms)
--- a/tests/control_steps.py
+++ b/tests/control_steps.py
@@ -64,7 +64,7 @@
         return [
             vm.me.name
             for vm in fleet_view.running(self.world)
-            if vm.zone == zone and vm.engine.keeper.watching
+            if vm.zone == zone and vm.engine.config_sync.watching
         ]
 
 
@@ -208,7 +208,7 @@
 def store_agrees(control: Control) -> None:
     held = control.stored()
     for vm in fleet_view.running(control.world):
-        current = vm.engine.keeper.current
+        current = vm.engine.config_sync.current
         assert current is not None
         assert current.document == held
 
--- a/tests/fleet_view.py
+++ b/tests/fleet_view.py
@@ -22,7 +22,7 @@
 
 def in_force(made: world.World) -> set[int]:
     """Return the sequences in force at running VMs."""
-    return {vm.engine.keeper.sequence for vm in running(made)}
+    return {vm.engine.config_sync.sequence for vm in running(made)}
 
 
 def settle_ms(made: world.World, limit_ms: int) -> int:
--- a/tests/operators.py
+++ b/tests/operators.py
@@ -136,7 +136,7 @@
     vm: world.Vm, now_ms: int, noted: list[history_config.InForce]
 ) -> None:
     """Note what a VM has in force, when it is new."""
-    current = vm.engine.keeper.current
+    current = vm.engine.config_sync.current
     if current is None:
         return
     name = vm.me.name
--- a/tests/test_config_sync.py
+++ b/tests/test_config_sync.py
@@ -29,8 +29,8 @@
         self.me = self.vm("me", 1)
         self.others = [self.vm(f"vm{n}", n) for n in range(2, 9)]
         self.peers.set_members([self.me, *self.others])
-        self.keeper = config_sync.ConfigSync("me", self.peers, self.outbox)
-        self.keeper.offer(NOW_MS, self.value(5), "store")
+        self.config_sync = config_sync.ConfigSync("me", self.peers, self.outbox)
+        self.config_sync.offer(NOW_MS, self.value(5), "store")
         self.outbox.take()
 
     def vm(self, name: str, number: int) -> member.Member:
@@ -65,8 +65,8 @@
 def test_older_document_is_refused_and_logged(local: LocalConfig) -> None:
     # A slow peer or a stale read delivers an older document. If it were put in
     # force, it would undo an accepted change, for example a drain.
-    local.keeper.offer(NOW_MS, local.value(4), "vm2")
-    assert local.keeper.sequence == 5
+    local.config_sync.offer(NOW_MS, local.value(4), "vm2")
+    assert local.config_sync.sequence == 5
     assert local.refused() == ["config_stale"]
 
 
@@ -76,8 +76,8 @@
 ) -> None:
     # Another program writes to the rules key. The VMs must continue to serve, and
     # a watching VM must write the last valid document back, so that new VMs get it.
-    local.keeper.store_read(NOW_MS, value)
-    assert local.keeper.sequence == 5
+    local.config_sync.store_read(NOW_MS, value)
+    assert local.config_sync.sequence == 5
     repairs = local.taken(message.RepairStore)
     assert [item.sequence for item in repairs] == [5]
 
@@ -89,13 +89,13 @@
     # version must not overwrite them, or old and new VMs would undo each other's
     # writes.
     broken = config.Document(9, "x", "x", 1, "servce desk  # typo\n", "", ())
-    local.keeper.store_read(NOW_MS, config.encode(broken))
-    assert local.keeper.sequence == 5
+    local.config_sync.store_read(NOW_MS, config.encode(broken))
+    assert local.config_sync.sequence == 5
     assert local.taken(message.RepairStore) == []
 
 
 def test_deleted_rules_are_written_back(local: LocalConfig) -> None:
-    local.keeper.store_read(NOW_MS, None)
+    local.config_sync.store_read(NOW_MS, None)
     assert [item.sequence for item in local.taken(message.RepairStore)] == [5]
 
 
@@ -105,20 +105,20 @@
     # The store is restored to sequence 4, and before a watching VM has repaired it
     # an operator's change is accepted as a second sequence 5. Running VMs would
     # refuse it for ever, new VMs would accept it, and the fleet would be divided.
-    local.keeper.store_read(NOW_MS, local.value(5, "ben"))
-    assert local.keeper.sequence == 5
+    local.config_sync.store_read(NOW_MS, local.value(5, "ben"))
+    assert local.config_sync.sequence == 5
     actions = local.outbox.take()
     repairs = [item for item in actions if isinstance(item, message.RepairStore)]
     assert [item.sequence for item in repairs] == [6]
     repaired = config.decode(repairs[0].value)
     assert (repaired.sequence, repaired.author) == (6, "ann")
-    local.keeper.store_read(NOW_MS, repairs[0].value)
-    assert local.keeper.sequence == 6
+    local.config_sync.store_read(NOW_MS, repairs[0].value)
+    assert local.config_sync.sequence == 6
 
 
 def test_same_document_in_another_encoding_is_not_repaired(local: LocalConfig) -> None:
     again = config.encode(config.decode(local.value(5)))
-    local.keeper.store_read(NOW_MS, again)
+    local.config_sync.store_read(NOW_MS, again)
     assert local.taken(message.RepairStore) == []
 
 
@@ -127,16 +127,16 @@
 ) -> None:
     # The VM that announced a change dies before it sends the document, or the link
     # to it is lost. A VM must then request it from the next VM that announces it.
-    local.keeper.request_if_newer(NOW_MS, "vm2", 6)
-    local.keeper.request_if_newer(NOW_MS + 100, "vm3", 6)
-    local.keeper.request_if_newer(NOW_MS + 300, "vm4", 6)
+    local.config_sync.request_if_newer(NOW_MS, "vm2", 6)
+    local.config_sync.request_if_newer(NOW_MS + 100, "vm3", 6)
+    local.config_sync.request_if_newer(NOW_MS + 300, "vm4", 6)
     asked = [item.receiver for item in local.taken(message.SendLink)]
     assert asked == ["vm2", "vm4"]
 
 
 def test_document_is_sent_only_to_a_vm_with_an_older_one(local: LocalConfig) -> None:
-    local.keeper.send_if_newer("vm2", wire.ConfigRequest(5))
-    local.keeper.send_if_newer("vm3", wire.ConfigRequest(4))
+    local.config_sync.send_if_newer("vm2", wire.ConfigRequest(5))
+    local.config_sync.send_if_newer("vm3", wire.ConfigRequest(4))
     assert [item.receiver for item in local.taken(message.SendLink)] == ["vm3"]
 
 
--- a/tests/test_datagram.py
+++ b/tests/test_datagram.py
@@ -51,7 +51,7 @@
     old = behind.tables.epochs.current
     assert old is not None
     service = old.config.services["ratio"]
-    behind.keeper.offer = lambda *_: None  # type: ignore[method-assign]
+    behind.config_sync.offer = lambda *_: None  # type: ignore[method-assign]
     lossy.edit(lossy.text + ELSEWHERE)
     lossy.world.run(500)
     for port in range(2000, 5000):
@@ -59,7 +59,7 @@
         if old.locate(key, service).home == "vm2":
             lossy.world.call("ratio", caller=0, port=port)
             lossy.world.run(7)
-    del behind.keeper.offer
+    del behind.config_sync.offer
     lossy.world.run(30_000)
     assert lossy.world.breaches() == []
     assert len(lossy.world.executed()) > 200
--- a/tests/test_feature_configuration.py
+++ b/tests/test_feature_configuration.py
@@ -47,7 +47,7 @@
 def none_serves(control: control_steps.Control) -> None:
     for vm in control.world.vms.values():
         assert vm.engine.membership.me.state is member.MemberState.JOINING
-        assert vm.engine.keeper.current is None
+        assert vm.engine.config_sync.current is None
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("every VM serves within {limit:d} s"))
@@ -59,7 +59,7 @@
 @pytest_bdd.then("all VMs have the same rules in force")
 def same_rules(control: control_steps.Control) -> None:
     running = fleet_view.running(control.world)
-    digests = {vm.engine.keeper.current.digest for vm in running}  # type: ignore[union-attr]
+    digests = {vm.engine.config_sync.current.digest for vm in running}  # type: ignore[union-attr]
     assert len(digests) == 1
 
 
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -143,7 +143,7 @@
         """Check that no VM serves without a configuration."""
         for vm in fleet_view.running(self.world):
             serves = vm.engine.membership.me.serves
-            assert not serves or vm.engine.keeper.current is not None
+            assert not serves or vm.engine.config_sync.current is not None
 
     def teardown(self) -> None:
         """End all faults; check that the fleet converges."""
@@ -160,7 +160,7 @@
     def _one_configuration(self) -> None:
         held = config.decode(self.world.platform.rows(store.RULES_KEY)[0].value)
         for vm in fleet_view.running(self.world):
-            current = vm.engine.keeper.current
+            current = vm.engine.config_sync.current
             assert current is not None
             assert current.document == held
 
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -50,12 +50,12 @@
     bench.edit(text)
     bench.world.run(11_000)
     behind = bench.world.vms["vm2"].engine
-    behind.keeper.offer = lambda *_: None  # type: ignore[method-assign]
+    behind.config_sync.offer = lambda *_: None  # type: ignore[method-assign]
     bench.edit(text + BOOTH)
     for _ in range(100):
         bench.world.call("booth")
         bench.world.run(20)
-    del behind.keeper.offer
+    del behind.config_sync.offer
     bench.world.run(30_000)
     assert bench.world.wrong_deliveries == 0
     assert bench.world.breaches() == []
@@ -76,13 +76,13 @@
     bench.edit(_without(bench.text, "target v1 "))
     bench.world.run(11_000)
     behind = bench.world.vms["vm2"].engine
-    behind.keeper.offer = lambda *_: None  # type: ignore[method-assign]
+    behind.config_sync.offer = lambda *_: None  # type: ignore[method-assign]
     bench.edit(bench.text + MOVED)
     for _ in range(100):
         bench.world.call("desk")
         bench.world.call("vault")
         bench.world.run(20)
-    del behind.keeper.offer
+    del behind.config_sync.offer
     bench.world.run(20_000)
     assert bench.world.wrong_deliveries == 0
     assert bench.world.breaches() == []
--- a/tests/world.py
+++ b/tests/world.py
@@ -302,9 +302,9 @@
     def config(self) -> config.Config:
         """Return the newest configuration that any VM has in force."""
         present = [
-            vm.engine.keeper.current
+            vm.engine.config_sync.current
             for vm in self.vms.values()
-            if vm.engine.keeper.current is not None
+            if vm.engine.config_sync.current is not None
         ]
         return max(present, key=lambda item: item.sequence)
 
@@ -349,7 +349,7 @@
             return
         for action in vm.engine.feed(self.now_ms, event):
             self._do(vm, action)
-        sequence = vm.engine.keeper.sequence
+        sequence = vm.engine.config_sync.sequence
         if sequence and (not vm.in_force or vm.in_force[-1] != sequence):
             vm.in_force.append(sequence)
 
