--- a/eelgrasswick/daemons/daemon.py
+++ b/eelgrasswick/daemons/daemon.py
@@ -123,7 +123,7 @@
     def _listen(self, vm: setting.VmSettings) -> None:
         self._reactor.listenUDP(vm.data_port, self._data, vm.ip, 65536)
         self._reactor.listenUDP(vm.peer_port, self._peer, vm.ip, 65536)
-        listener = link.Listener(self._on_link, self._on_link_fault)
+        listener = link.Callbacks(self._on_link, self._on_link_fault)
         networks = self._settings.fleet.networks
         factory = link.LinkServerFactory(networks, listener, self._identity is not None)
         if self._identity is None:
@@ -162,7 +162,7 @@
                 self._trust[ip] = known
         return known
 
-    def _on_link(self, arrival: link.Arrival) -> None:
+    def _on_link(self, arrival: link.ReceivedMessage) -> None:
         # The name in a link's path is a claim. Believed from any address, one
         # process in the trusted networks could report loads, hand over flows or
         # offer configurations as any VM.
@@ -170,12 +170,12 @@
             self._feed(message.LinkReceived(arrival.sender, arrival.payload))
             return
         claim = f"claims to be {arrival.sender}"
-        self._on_link_fault(link.Fault(arrival.host, claim, False))
+        self._on_link_fault(link.LinkError(arrival.host, claim, False))
 
-    def _on_link_fault(self, fault: link.Fault) -> None:
+    def _on_link_fault(self, fault: link.LinkError) -> None:
         kind = errors.ErrorKind.MESSAGE_INVALID
         counter = message.Counter.MESSAGES_INVALID
-        if not fault.known:
+        if not fault.authorized:
             kind = errors.ErrorKind.SENDER_UNKNOWN
             counter = message.Counter.PACKETS_UNKNOWN_SENDER
         self._engine.outbox.count(counter)
--- a/eelgrasswick/daemons/link.py
+++ b/eelgrasswick/daemons/link.py
@@ -24,7 +24,7 @@
 PATH: typing.Final = "/link/"
 
 
-class Arrival(typing.NamedTuple):
+class ReceivedMessage(typing.NamedTuple):
     """A message that came over a link.
 
     Attributes:
@@ -38,7 +38,7 @@
     payload: bytes
 
 
-class Fault(typing.NamedTuple):
+class LinkError(typing.NamedTuple):
     """Why a link was refused or ended.
 
     Attributes:
@@ -49,14 +49,14 @@
 
     host: str
     detail: str
-    known: bool
+    authorized: bool
 
 
-class Listener(typing.NamedTuple):
+class Callbacks(typing.NamedTuple):
     """Who is told what happens on accepted links."""
 
-    arrived: typing.Callable[[Arrival], None]
-    failed: typing.Callable[[Fault], None]
+    on_message: typing.Callable[[ReceivedMessage], None]
+    on_error: typing.Callable[[LinkError], None]
 
 
 def write(transport: typing.Any, chunks: list[bytes]) -> None:
@@ -88,7 +88,7 @@
 class LinkServer(protocol.Protocol, policies.TimeoutMixin):
     """The accepting end of one link."""
 
-    def __init__(self, host: str, listener: Listener, secure: bool) -> None:
+    def __init__(self, host: str, listener: Callbacks, secure: bool) -> None:
         """Pass messages from ``host`` on; ``secure`` checks the certificate."""
         self._host = host
         self._listener = listener
@@ -125,7 +125,7 @@
         ended = (error.ConnectionDone, error.ConnectionLost, error.ConnectionAborted)
         if not reason.check(*ended):
             detail = f"{type(reason.value).__name__}: {reason.value}"
-            self._listener.failed(Fault(self._host, detail, False))
+            self._listener.on_error(LinkError(self._host, detail, False))
 
     def _event(self, event: object) -> None:
         if isinstance(event, http11.Request):
@@ -135,12 +135,12 @@
 
     def _frame(self, frame: frames.Frame) -> None:
         if frame.opcode is frames.Opcode.BINARY and frame.fin:
-            arrival = Arrival(self._sender, self._host, bytes(frame.data))
-            self._listener.arrived(arrival)
+            arrival = ReceivedMessage(self._sender, self._host, bytes(frame.data))
+            self._listener.on_message(arrival)
         else:
             # Our own client sends whole binary messages only.
             self._socket.fail(frames.CloseCode.UNSUPPORTED_DATA, "not whole binary")
-            self._listener.failed(Fault(self._host, "not a binary message", True))
+            self._listener.on_error(LinkError(self._host, "not a binary message", True))
 
     def _open(self, request: http11.Request) -> None:
         response = self._socket.accept(request)
@@ -149,8 +149,8 @@
             response = self._socket.reject(404, "no such path\n")
         elif self._secure and name not in tls.names(self.transport):
             # Any holder of a certificate could otherwise speak as any VM.
-            fault = Fault(self._host, f"certificate does not name {name}", False)
-            self._listener.failed(fault)
+            fault = LinkError(self._host, f"certificate does not name {name}", False)
+            self._listener.on_error(fault)
             response = self._socket.reject(403, "certificate names another VM\n")
         self._socket.send_response(response)
         if response.status_code == http.HTTPStatus.SWITCHING_PROTOCOLS:
@@ -158,7 +158,7 @@
             self.setTimeout(SILENT_S)
 
     def _fail(self, detail: str) -> None:
-        self._listener.failed(Fault(self._host, detail, True))
+        self._listener.on_error(LinkError(self._host, detail, True))
         self._abort()
 
     def _abort(self) -> None:
@@ -181,7 +181,7 @@
     def __init__(
         self,
         networks: tuple[ipaddress.IPv4Network, ...],
-        listener: Listener,
+        listener: Callbacks,
         secure: bool,
     ) -> None:
         """Trust addresses in ``networks``."""
@@ -195,6 +195,6 @@
         """Return a protocol for a trusted address; others are cut off."""
         host = str(getattr(addr, "host", "0.0.0.0"))
         if not any(ipaddress.IPv4Address(host) in item for item in self._networks):
-            self._listener.failed(Fault(host, "not in [fleet] networks", False))
+            self._listener.on_error(LinkError(host, "not in [fleet] networks", False))
             return None
         return LinkServer(host, self._listener, self._secure)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -34,8 +34,8 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self.arrivals: list[link.Arrival] = []
-        self.faults: list[link.Fault] = []
+        self.arrivals: list[link.ReceivedMessage] = []
+        self.faults: list[link.LinkError] = []
         self.dropped = 0
 
     def drop(self) -> None:
@@ -43,9 +43,9 @@
         self.dropped += 1
 
     @property
-    def listener(self) -> link.Listener:
+    def listener(self) -> link.Callbacks:
         """What a server is given."""
-        return link.Listener(self.arrivals.append, self.faults.append)
+        return link.Callbacks(self.arrivals.append, self.faults.append)
 
 
 @pytest.fixture
@@ -133,7 +133,7 @@
     )
     spin(lambda: bool(heard.faults))
     assert heard.faults[0].host == "127.4.8.1"
-    assert not heard.faults[0].known
+    assert not heard.faults[0].authorized
     outsider.close()
     close_site(site)
 
@@ -246,7 +246,7 @@
     oversize = b"\x82\xff" + (1 << 40).to_bytes(8, "big") + b"\0\0\0\0"
     transport = server_fed(heard, REQUEST, oversize)
     assert transport.disconnected
-    assert heard.faults[0].known
+    assert heard.faults[0].authorized
 
 
 def test_mutual_tls_carries_messages(
@@ -257,7 +257,7 @@
     site = open_site(heard, first, second)
     site.pool.send(site.receiver, b"hello")
     spin(lambda: bool(heard.arrivals))
-    assert heard.arrivals == [link.Arrival("vm2", "127.4.9.2", b"hello")]
+    assert heard.arrivals == [link.ReceivedMessage("vm2", "127.4.9.2", b"hello")]
     close_site(site)
 
 
@@ -297,7 +297,7 @@
     site.pool.send(site.receiver, b"hello")
     spin(lambda: not site.pool._links and bool(heard.faults))
     assert heard.arrivals == []
-    assert not heard.faults[0].known
+    assert not heard.faults[0].authorized
     close_site(site)
 
 
