--- a/eelgrasswick/daemons/link.py
+++ b/eelgrasswick/daemons/link.py
@@ -18,10 +18,10 @@
 from eelgrasswick import wire
 from eelgrasswick.daemons import tls
 
-HANDSHAKE_S: typing.Final = 5.0
-SILENT_S: typing.Final = 120.0
-UNACKNOWLEDGED_MS: typing.Final = 5000
-PATH: typing.Final = "/link/"
+HANDSHAKE_TIMEOUT_S: typing.Final = 5.0
+IDLE_TIMEOUT_S: typing.Final = 120.0
+TCP_USER_TIMEOUT_MS: typing.Final = 5000
+PATH_PREFIX: typing.Final = "/link/"
 
 
 class ReceivedMessage(typing.NamedTuple):
@@ -59,7 +59,7 @@
     on_error: typing.Callable[[LinkError], None]
 
 
-def write(transport: typing.Any, chunks: list[bytes]) -> None:
+def write_chunks(transport: typing.Any, chunks: list[bytes]) -> None:
     """Write what websockets wants sent; an empty chunk ends the connection."""
     for data in chunks:
         if data:
@@ -68,7 +68,7 @@
             transport.loseConnection()
 
 
-def bound_silence(transport: typing.Any) -> None:
+def set_tcp_user_timeout(transport: typing.Any) -> None:
     """Have the kernel end a connection whose data is not acknowledged.
 
     In a network partition a connection stays open, and the kernel retries more
@@ -81,7 +81,7 @@
         if transport is None:
             return
     transport.socket.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
     )
 
 
@@ -100,7 +100,7 @@
         """Bound how long the handshake may take."""
         # Whoever connects and says nothing would hold a descriptor for good;
         # with enough of them the VM could take no link any more.
-        self.setTimeout(HANDSHAKE_S)
+        self.setTimeout(HANDSHAKE_TIMEOUT_S)
 
     def timeoutConnection(self) -> None:  # noqa: N802
         """End a link that is silent for too long."""
@@ -117,7 +117,7 @@
         if fault is not None:
             self._fail(str(fault))
             return
-        write(self.transport, self._socket.data_to_send())
+        write_chunks(self.transport, self._socket.data_to_send())
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:  # noqa: N802
         """Note the end of the connection, and a TLS handshake that failed."""
@@ -144,10 +144,10 @@
 
     def _open(self, request: http11.Request) -> None:
         response = self._socket.accept(request)
-        name = request.path.removeprefix(PATH)
-        if not request.path.startswith(PATH) or not name:
+        name = request.path.removeprefix(PATH_PREFIX)
+        if not request.path.startswith(PATH_PREFIX) or not name:
             response = self._socket.reject(404, "no such path\n")
-        elif self._secure and name not in tls.names(self.transport):
+        elif self._secure and name not in tls.peer_dns_names(self.transport):
             # Any holder of a certificate could otherwise speak as any VM.
             fault = LinkError(self._host, f"certificate does not name {name}", False)
             self._listener.on_error(fault)
@@ -155,7 +155,7 @@
         self._socket.send_response(response)
         if response.status_code == http.HTTPStatus.SWITCHING_PROTOCOLS:
             self._sender = name
-            self.setTimeout(SILENT_S)
+            self.setTimeout(IDLE_TIMEOUT_S)
 
     def _fail(self, detail: str) -> None:
         self._listener.on_error(LinkError(self._host, detail, True))
--- a/eelgrasswick/daemons/link_pool.py
+++ b/eelgrasswick/daemons/link_pool.py
@@ -14,10 +14,10 @@
     tls,
 )
 
-MAX_QUEUED: typing.Final = 256
-IDLE_S: typing.Final = 60.0
-CONNECT_S: typing.Final = 1.0
-_MAX_ANSWER_BYTES: typing.Final = 1024
+MAX_QUEUED_MESSAGES: typing.Final = 256
+IDLE_CLOSE_S: typing.Final = 60.0
+CONNECT_TIMEOUT_S: typing.Final = 1.0
+_MAX_RESPONSE_BYTES: typing.Final = 1024
 
 
 class Receiver(typing.NamedTuple):
@@ -32,21 +32,21 @@
 
     def __init__(self, name: str, receiver: Receiver, pool: "LinkPool") -> None:
         """Open as the VM ``name`` to another VM, for a pool."""
-        target = uri.parse_uri(f"ws://{receiver.address}{link.PATH}{name}")
+        target = uri.parse_uri(f"ws://{receiver.address}{link.PATH_PREFIX}{name}")
         self._receiver = receiver
         self._pool = pool
-        self._socket = client.ClientProtocol(target, max_size=_MAX_ANSWER_BYTES)
+        self._socket = client.ClientProtocol(target, max_size=_MAX_RESPONSE_BYTES)
         self._waiting: collections.deque[bytes] = collections.deque()
         self._open = False
         self._paused = False
 
     def connectionMade(self) -> None:  # noqa: N802
         """Send the opening handshake."""
-        link.bound_silence(self.transport)
+        link.set_tcp_user_timeout(self.transport)
         # A process that is stopped still has its connections accepted by the
         # kernel. Without a bound the messages for it would wait here for good,
         # and those for a VM that came back would never leave.
-        self.setTimeout(link.HANDSHAKE_S)
+        self.setTimeout(link.HANDSHAKE_TIMEOUT_S)
         transport = typing.cast(typing.Any, self.transport)
         transport.registerProducer(self, True)
         self._socket.send_request(self._socket.connect())
@@ -93,7 +93,7 @@
         repeat what matters: pings tell the newest configuration, and a change
         of homes sends exceptions again.
         """
-        if len(self._waiting) >= MAX_QUEUED:
+        if len(self._waiting) >= MAX_QUEUED_MESSAGES:
             self._waiting.popleft()
             self._pool.dropped()
         self._waiting.append(payload)
@@ -117,7 +117,7 @@
         if self._socket.handshake_exc is not None:
             return
         name = self._receiver.name
-        if self._pool.secure and name not in tls.names(self.transport):
+        if self._pool.secure and name not in tls.peer_dns_names(self.transport):
             self.close()
             return
         self.setTimeout(None)
@@ -135,7 +135,7 @@
             self._flush()
 
     def _flush(self) -> None:
-        link.write(self.transport, self._socket.data_to_send())
+        link.write_chunks(self.transport, self._socket.data_to_send())
 
 
 class LinkPool:
@@ -180,7 +180,7 @@
         """Close links that carried nothing for a while."""
         now_s = self._reactor.seconds()
         for receiver, used_s in list(self._used_s.items()):
-            if now_s - used_s > IDLE_S:
+            if now_s - used_s > IDLE_CLOSE_S:
                 del self._used_s[receiver]
                 found = self._links.get(receiver)
                 if found is not None:
@@ -218,8 +218,13 @@
         source = (self._ip, 0)
         if self._identity is None:
             return endpoints.TCP4ClientEndpoint(
-                self._reactor, host, int(port), CONNECT_S, source
+                self._reactor, host, int(port), CONNECT_TIMEOUT_S, source
             )
         return endpoints.SSL4ClientEndpoint(
-            self._reactor, host, int(port), self._identity.options, CONNECT_S, source
+            self._reactor,
+            host,
+            int(port),
+            self._identity.options,
+            CONNECT_TIMEOUT_S,
+            source,
         )
--- a/eelgrasswick/daemons/tls.py
+++ b/eelgrasswick/daemons/tls.py
@@ -60,7 +60,7 @@
     return Identity(options)
 
 
-def names(transport: typing.Any) -> frozenset[str]:
+def peer_dns_names(transport: typing.Any) -> frozenset[str]:
     """Return the DNS names in the certificate of a connection's other end."""
     certificate = transport.getPeerCertificate()
     if certificate is None:
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -146,7 +146,7 @@
     address = packet.address(f"{HOST}:{still.getsockname()[1]}")
     pool = link_pool.LinkPool(reactor, "vm2", "127.4.9.2", None, heard.drop)
     receiver = link_pool.Receiver("vm1", address)
-    for _ in range(link_pool.MAX_QUEUED + 10):
+    for _ in range(link_pool.MAX_QUEUED_MESSAGES + 10):
         pool.send(receiver, b"x" * 1000)
     assert heard.dropped == 10
     pool.close()
@@ -163,12 +163,12 @@
     opened.dataReceived(server_fed(heard, transport.value()).value())
     opened.pauseProducing()
     transport.clear()
-    for number in range(link_pool.MAX_QUEUED + 3):
+    for number in range(link_pool.MAX_QUEUED_MESSAGES + 3):
         opened.send(b"%d" % number)
     assert transport.value() == b""
     assert heard.dropped == 3
     opened.resumeProducing()
-    assert len(transport.value()) > link_pool.MAX_QUEUED
+    assert len(transport.value()) > link_pool.MAX_QUEUED_MESSAGES
 
 
 def test_silent_connection_is_ended(heard: Heard) -> None:
@@ -179,7 +179,7 @@
     made.callLater = clock.callLater  # type: ignore[method-assign]
     transport = StringTransport()
     made.makeConnection(transport)
-    clock.advance(link.HANDSHAKE_S + 1)
+    clock.advance(link.HANDSHAKE_TIMEOUT_S + 1)
     assert transport.disconnected
 
 
@@ -193,7 +193,7 @@
     opened.callLater = clock.callLater  # type: ignore[method-assign]
     transport = StringTransport()
     opened.makeConnection(transport)
-    clock.advance(link.HANDSHAKE_S + 1)
+    clock.advance(link.HANDSHAKE_TIMEOUT_S + 1)
     assert transport.disconnected
 
 
