--- a/eelgrasswick/daemons/link_pool.py
+++ b/eelgrasswick/daemons/link_pool.py
@@ -54,7 +54,7 @@
 
     def timeoutConnection(self) -> None:  # noqa: N802
         """Give up a handshake that got no answer."""
-        self.close()
+        self.abort()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Take bytes from the transport."""
@@ -63,7 +63,7 @@
             if isinstance(event, http11.Response):
                 self._answered()
         if self._socket.parser_exc or self._socket.handshake_exc:
-            self.close()
+            self.abort()
             return
         self._flush()
 
@@ -71,7 +71,7 @@
         """Tell the pool that the link is over."""
         self._open = False
         self.setTimeout(None)
-        self._pool.ended(self._receiver, self)
+        self._pool.remove(self._receiver, self)
 
     def pauseProducing(self) -> None:  # noqa: N802
         """Keep messages, because the other end takes none at present."""
@@ -95,17 +95,17 @@
         """
         if len(self._waiting) >= MAX_QUEUED_MESSAGES:
             self._waiting.popleft()
-            self._pool.dropped()
+            self._pool.on_drop()
         self._waiting.append(payload)
         self._drain()
 
-    def close(self) -> None:
+    def abort(self) -> None:
         """End the link at once; what has not left yet is lost."""
         self._open = False
         if self.transport is not None:
             typing.cast(typing.Any, self.transport).abortConnection()
 
-    def finish(self) -> None:
+    def close_gracefully(self) -> None:
         """End the link after what was written has left."""
         self._open = False
         if self.transport is not None:
@@ -118,7 +118,7 @@
             return
         name = self._receiver.name
         if self._pool.secure and name not in tls.peer_dns_names(self.transport):
-            self.close()
+            self.abort()
             return
         self.setTimeout(None)
         self._open = True
@@ -130,7 +130,7 @@
                 self._socket.send_binary(self._waiting.popleft())
             except exceptions.InvalidState:
                 # The other end has said that it closes, but holds the connection.
-                self.close()
+                self.abort()
                 return
             self._flush()
 
@@ -159,7 +159,7 @@
             dropped: Called for each message that is dropped.
         """
         self.secure = identity is not None
-        self.dropped = dropped
+        self.on_drop = dropped
         self._reactor = reactor
         self._name = name
         self._ip = ip
@@ -184,16 +184,16 @@
                 del self._used_s[receiver]
                 found = self._links.get(receiver)
                 if found is not None:
-                    found.close()
+                    found.abort()
 
     def close(self) -> None:
         """Close all links, and stop opening others."""
         for connecting in list(self._connecting.values()):
             connecting.cancel()
         for found in list(self._links.values()):
-            found.finish()
+            found.close_gracefully()
 
-    def ended(self, receiver: Receiver, over: LinkClient) -> None:
+    def remove(self, receiver: Receiver, over: LinkClient) -> None:
         """Forget a link that is over."""
         if self._links.get(receiver) is over:
             del self._links[receiver]
@@ -211,7 +211,7 @@
     ) -> None:
         self._connecting.pop(receiver, None)
         if isinstance(result, failure.Failure):
-            self.ended(receiver, opening)
+            self.remove(receiver, opening)
 
     def _endpoint(self, receiver: Receiver) -> typing.Any:
         host, _, port = str(receiver.address).rpartition(":")
