--- a/eelgrasswick/daemons/_body.py
+++ b/eelgrasswick/daemons/_body.py
@@ -9,7 +9,7 @@
 from eelgrasswick import errors
 
 
-class Body(protocol.Protocol):
+class BodyReceiver(protocol.Protocol):
     """The body of one answer.
 
     Attributes:
--- a/eelgrasswick/daemons/gateway.py
+++ b/eelgrasswick/daemons/gateway.py
@@ -29,11 +29,11 @@
     ValueError,
 )
 MAX_LINE_BYTES: typing.Final = 4_000_000
-MAX_ANSWER_BYTES: typing.Final = 64_000_000
+MAX_RESPONSE_BYTES: typing.Final = 64_000_000
 _OK: typing.Final = 200
 
 
-class Pair(msgspec.Struct):
+class KeyValue(msgspec.Struct):
     """One key and its value, as the gateway encodes them."""
 
     key: str
@@ -53,47 +53,47 @@
         )
 
 
-class Header(msgspec.Struct):
+class ResponseHeader(msgspec.Struct):
     """What stands at the head of each answer."""
 
     revision: str
 
 
-class RangeAnswer(msgspec.Struct):
+class RangeResponse(msgspec.Struct):
     """Answer to ``kv/range``."""
 
-    kvs: list[Pair] = []
+    kvs: list[KeyValue] = []
 
 
-class TxnAnswer(msgspec.Struct):
+class TxnResponse(msgspec.Struct):
     """Answer to ``kv/txn``; a failed comparison is left out as false."""
 
-    header: Header
+    header: ResponseHeader
     succeeded: bool = False
 
 
-class GrantAnswer(msgspec.Struct):
+class LeaseGrantResponse(msgspec.Struct):
     """Answer to ``lease/grant``."""
 
     ID: str  # noqa: N815
 
 
-class KeptLease(msgspec.Struct):
+class KeepAliveResult(msgspec.Struct):
     """A lease after it was kept alive; without TTL when it has ended."""
 
     TTL: str = "0"  # noqa: N815
 
 
-class KeepAliveAnswer(msgspec.Struct):
+class LeaseKeepAliveResponse(msgspec.Struct):
     """Answer to ``lease/keepalive``."""
 
-    result: KeptLease
+    result: KeepAliveResult
 
 
 class WatchEvent(msgspec.Struct):
     """One change that a watch reports; a put when no type is given."""
 
-    kv: Pair
+    kv: KeyValue
     type: str = "PUT"
 
 
@@ -112,7 +112,7 @@
 Answer = typing.TypeVar("Answer", bound=msgspec.Struct)
 
 
-def read_answer(content: bytes, kind: type[Answer]) -> Answer:
+def decode_response(content: bytes, kind: type[Answer]) -> Answer:
     """Read an answer of the gateway.
 
     Args:
@@ -131,7 +131,7 @@
         raise errors.StoreError(f"{kind.__name__}: {failed}") from failed
 
 
-def read_rows(pairs: typing.Iterable[Pair]) -> tuple[store.Row, ...]:
+def decode_rows(pairs: typing.Iterable[KeyValue]) -> tuple[store.Row, ...]:
     """Decode pairs.
 
     Raises:
@@ -165,14 +165,14 @@
     async def read(self, key: str) -> store.Row | None:
         """Read one key; see the base class."""
         body = {"key": _encode(key.encode())}
-        answer = await self._call("kv/range", body, RangeAnswer)
-        rows = read_rows(answer.kvs)
+        answer = await self._call("kv/range", body, RangeResponse)
+        rows = decode_rows(answer.kvs)
         return rows[0] if rows else None
 
     async def read_prefix(self, prefix: str) -> tuple[store.Row, ...]:
         """Read all keys with a prefix; see the base class."""
-        answer = await self._call("kv/range", _range(prefix), RangeAnswer)
-        return read_rows(answer.kvs)
+        answer = await self._call("kv/range", _range(prefix), RangeResponse)
+        return decode_rows(answer.kvs)
 
     async def commit(
         self,
@@ -201,24 +201,24 @@
                 for item in puts
             ],
         }
-        answer = await self._call("kv/txn", body, TxnAnswer)
+        answer = await self._call("kv/txn", body, TxnResponse)
         return store.Committed(answer.succeeded, _number(answer.header.revision))
 
     async def grant(self, ttl_s: int) -> int:
         """Grant a lease; see the base class."""
         body = {"TTL": str(ttl_s), "ID": "0"}
-        return _number((await self._call("lease/grant", body, GrantAnswer)).ID)
+        return _number((await self._call("lease/grant", body, LeaseGrantResponse)).ID)
 
     async def keep_alive(self, lease: int) -> bool:
         """Keep a lease alive; see the base class."""
         body = {"ID": str(lease)}
-        answer = await self._call("lease/keepalive", body, KeepAliveAnswer)
+        answer = await self._call("lease/keepalive", body, LeaseKeepAliveResponse)
         return _number(answer.result.TTL) > 0
 
     async def watch(self, prefix: str, after: int, listener: store.Listener) -> None:
         """Watch a prefix; see the base class."""
         create = {**_range(prefix), "start_revision": str(after + 1)}
-        body = _body.Body(WatchLines(listener).take)
+        body = _body.BodyReceiver(WatchDecoder(listener).receive)
         try:
             response = await self._post("watch", {"create_request": create}).addTimeout(
                 self._timeout_s, self._reactor
@@ -238,14 +238,14 @@
             )
         except _FAILURES as failure:
             raise errors.StoreError(f"{path}: {failure!r}") from failure
-        return read_answer(content.joined(), kind)
+        return decode_response(content.joined(), kind)
 
     @defer.inlineCallbacks
     def _fetch(
         self, path: str, body: dict[str, typing.Any], content: "_Content"
     ) -> typing.Generator[defer.Deferred[typing.Any], typing.Any, None]:
         response = yield self._post(path, body)
-        taking = _body.Body(content.take)
+        taking = _body.BodyReceiver(content.take)
         response.deliverBody(taking)
         yield taking.done
 
@@ -259,7 +259,7 @@
             f"{self._url}/v3/{path}", data=json.dumps(body).encode(), unbuffered=True
         )
         if response.code != _OK:
-            response.deliverBody(_body.Body(lambda _: None))
+            response.deliverBody(_body.BodyReceiver(lambda _: None))
             raise ValueError(f"HTTP status {response.code}")
         return response
 
@@ -273,7 +273,7 @@
 
     def take(self, data: bytes) -> None:
         self._bytes += len(data)
-        if self._bytes > MAX_ANSWER_BYTES:
+        if self._bytes > MAX_RESPONSE_BYTES:
             raise errors.StoreError("answer is too long")
         self._parts.append(data)
 
@@ -281,7 +281,7 @@
         return b"".join(self._parts)
 
 
-class WatchLines:
+class WatchDecoder:
     """Cuts a watch's byte stream into JSON lines and passes rows on."""
 
     def __init__(self, listener: store.Listener) -> None:
@@ -289,7 +289,7 @@
         self._listener = listener
         self._rest = b""
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Take the next bytes of the stream.
 
         Raises:
@@ -303,8 +303,8 @@
                 self._line(line)
 
     def _line(self, line: bytes) -> None:
-        events = read_answer(line, WatchLine).result.events
-        puts = read_rows(event.kv for event in events if event.type == "PUT")
+        events = decode_response(line, WatchLine).result.events
+        puts = decode_rows(event.kv for event in events if event.type == "PUT")
         if puts:
             self._listener(puts)
 
--- a/tests/test_gateway_answers.py
+++ b/tests/test_gateway_answers.py
@@ -24,10 +24,10 @@
 from tests import test_link
 
 KINDS = (
-    gateway.RangeAnswer,
-    gateway.TxnAnswer,
-    gateway.GrantAnswer,
-    gateway.KeepAliveAnswer,
+    gateway.RangeResponse,
+    gateway.TxnResponse,
+    gateway.LeaseGrantResponse,
+    gateway.LeaseKeepAliveResponse,
     gateway.WatchLine,
 )
 reactor = typing.cast(typing.Any, default_reactor)
@@ -63,7 +63,7 @@
     # Something else answers at the platform's address, such as a proxy's error
     # page. An untyped error would end the watch of a VM for good.
     with contextlib.suppress(errors.StoreError):
-        gateway.read_answer(content, kind)
+        gateway.decode_response(content, kind)
 
 
 @given(plain, strategies.sampled_from(KINDS))
@@ -71,28 +71,28 @@
     value: object, kind: type[typing.Any]
 ) -> None:
     with contextlib.suppress(errors.StoreError):
-        answer = gateway.read_answer(json.dumps(value).encode(), kind)
-        if isinstance(answer, gateway.RangeAnswer):
-            gateway.read_rows(answer.kvs)
+        answer = gateway.decode_response(json.dumps(value).encode(), kind)
+        if isinstance(answer, gateway.RangeResponse):
+            gateway.decode_rows(answer.kvs)
 
 
 @given(strategies.lists(strategies.binary(max_size=40), max_size=5))
 def test_any_watch_lines_give_rows_or_a_typed_error(chunks: list[bytes]) -> None:
-    lines = gateway.WatchLines(lambda rows: None)
+    lines = gateway.WatchDecoder(lambda rows: None)
     with contextlib.suppress(errors.StoreError):
         for data in chunks:
-            lines.take(data)
+            lines.receive(data)
 
 
 def test_watch_line_may_come_in_pieces() -> None:
     heard: list[store.Row] = []
-    lines = gateway.WatchLines(heard.extend)
+    lines = gateway.WatchDecoder(heard.extend)
     line = (
         b'{"result":{"events":[{"kv":{"key":"YQ==","value":"Yg==",'
         b'"mod_revision":"7"}}]}}\n'
     )
     for index in range(len(line)):
-        lines.take(line[index : index + 1])
+        lines.receive(line[index : index + 1])
     assert heard == [store.Row("a", b"b", 7)]
 
 
@@ -180,8 +180,8 @@
 
 
 def test_body_stops_at_a_line_that_is_wrong() -> None:
-    lines = gateway.WatchLines(lambda rows: None)
-    body = _body.Body(lines.take)
+    lines = gateway.WatchDecoder(lambda rows: None)
+    body = _body.BodyReceiver(lines.receive)
     failed: list[typing.Any] = []
     body.done.addErrback(failed.append)
     body.dataReceived(b"<html>\n")
