--- a/eelgrasswick/daemons/daemon.py
+++ b/eelgrasswick/daemons/daemon.py
@@ -237,7 +237,7 @@
                 | message.RepairStore()
                 | message.RecordTargetEmpty()
             ):
-                self._watcher.carry_out(action)
+                self._watcher.execute(action)
             case message.Log():
                 self._logger.write(now_ms, action)
             case message.Stopped():
--- a/eelgrasswick/daemons/watcher.py
+++ b/eelgrasswick/daemons/watcher.py
@@ -18,10 +18,10 @@
 from eelgrasswick.decisions import backoff
 from eelgrasswick.fleet import member
 
-LEASE_S: typing.Final = 15
-WATCH_MS: typing.Final = 2000
-READ_MS: typing.Final = 10_000
-MAX_UNWRITTEN: typing.Final = 1000
+LEASE_TTL_S: typing.Final = 15
+WATCH_TIMEOUT_MS: typing.Final = 2000
+READ_INTERVAL_MS: typing.Final = 10_000
+MAX_PENDING_AUDIT_PUTS: typing.Final = 1000
 
 
 class Watcher:
@@ -47,7 +47,7 @@
         self._unwritten: dict[str, store.Put] = {}
         self._revision = 0
 
-    def carry_out(self, action: message.StoreAction) -> None:
+    def execute(self, action: message.StoreAction) -> None:
         """Do what an engine asks for at the store."""
         match action:
             case message.WatchStore():
@@ -81,7 +81,7 @@
 
     def record_empty(self, action: message.RecordTargetEmpty) -> None:
         """Write to the audit trail that a target is empty."""
-        if len(self._unwritten) < MAX_UNWRITTEN:
+        if len(self._unwritten) < MAX_PENDING_AUDIT_PUTS:
             put = change.target_empty_audit_put(action)
             self._unwritten[put.key] = put
         self._start(self._write_trail())
@@ -117,12 +117,12 @@
         begun_ms = self._now_ms()
         await self._read_all()
         read_ms = self._now_ms() - begun_ms
-        until_ms = self._now_ms() + READ_MS
+        until_ms = self._now_ms() + READ_INTERVAL_MS
         while turn == self._turn and self._now_ms() < until_ms:
             # A slow store also takes long to begin a watch. Given up before it
             # has begun, no watch would ever come about.
             fraction = 0.75 + 0.25 * self._rng.random()
-            await self._watch_for(int(WATCH_MS * fraction) + 2 * read_ms)
+            await self._watch_for(int(WATCH_TIMEOUT_MS * fraction) + 2 * read_ms)
 
     async def _watch_for(self, wait_ms: int) -> None:
         # A watch can go mute without an end, when a connection is dropped on
@@ -164,7 +164,7 @@
 
     async def _report(self, action: message.ReportInForce) -> None:
         if not self._lease or not await self._store.keep_alive(self._lease):
-            self._lease = await self._store.grant(LEASE_S)
+            self._lease = await self._store.grant(LEASE_TTL_S)
         value = json.dumps({item.vm: item.sequence for item in action.sequences})
         key = store.IN_FORCE_PREFIX + self._zone
         await self._store.commit((), (store.Put(key, value.encode(), self._lease),))
--- a/eelgrasswick/emulation/virtual_fleet.py
+++ b/eelgrasswick/emulation/virtual_fleet.py
@@ -276,7 +276,7 @@
             case message.SendLink():
                 self._send_link(vm, action)
             case message.WatchStore() | message.ReportInForce() | message.RepairStore():
-                vm.watcher.carry_out(action)
+                vm.watcher.execute(action)
             case _:
                 pass
 
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -80,7 +80,7 @@
     watched.put(watched.document(7, rules_text))
     watched.store.revision = 0
     watched.put(watched.document(5, rules_text))
-    watched.run(watcher.READ_MS + 3000)
+    watched.run(watcher.READ_INTERVAL_MS + 3000)
     assert watched.values()[-1] == watched.document(5, rules_text)
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -370,7 +370,7 @@
                 | message.RepairStore()
                 | message.RecordTargetEmpty()
             ):
-                vm.watcher.carry_out(action)
+                vm.watcher.execute(action)
             case message.Log():
                 self.logs.append((vm.me.name, action))
             case message.Stopped():
