--- a/eelgrasswick/commands/command.py
+++ b/eelgrasswick/commands/command.py
@@ -42,8 +42,8 @@
         """Run until SIGTERM; leave the fleet, then end."""
         try:
             loaded = setting.load(self.settings)
-            log.write_to(sys.stdout)
-            log.take_twisted(loaded.vm.name)
+            log.log_to_stream(sys.stdout)
+            log.log_twisted_errors(loaded.vm.name)
             compose.entry_daemon(default_reactor, loaded).start()
         except errors.EelgrasswickError as error:
             console.fail(error)
--- a/eelgrasswick/daemons/daemon.py
+++ b/eelgrasswick/daemons/daemon.py
@@ -28,8 +28,8 @@
 )
 from eelgrasswick.homes import engine
 
-IDLE_CHECK_S: typing.Final = 10.0
-TRACE_FRAMES: typing.Final = 4
+IDLE_CHECK_INTERVAL_S: typing.Final = 10.0
+MAX_TRACE_FRAMES: typing.Final = 4
 MAX_CACHED_ADDRESSES: typing.Final = 100_000
 
 
@@ -93,7 +93,7 @@
         self._data = _Port(self._on_data, self._on_send_failed)
         self._peer = _Port(self._on_peer, self._on_send_failed)
         self._stopping = False
-        self._trust: dict[bytes, bool] = {}
+        self._trusted_ips: dict[bytes, bool] = {}
 
     def start(self) -> None:
         """Bind the sockets and begin to tick.
@@ -109,7 +109,7 @@
         task.LoopingCall(self._tick).start(engine.TICK_MS / 1000)
         interval_s = self._settings.log.metrics_interval_s
         task.LoopingCall(self._write_metrics).start(interval_s, now=False)
-        task.LoopingCall(self._links.close_idle).start(IDLE_CHECK_S, now=False)
+        task.LoopingCall(self._links.close_idle).start(IDLE_CHECK_INTERVAL_S, now=False)
         signal.signal(signal.SIGTERM, self._on_term)
         signal.signal(signal.SIGINT, self._on_term)
         signal.signal(signal.SIGHUP, self._on_hup)
@@ -153,13 +153,13 @@
             self._engine.outbox.count(message.Counter.PACKETS_UNKNOWN_SENDER)
 
     def _trusted(self, ip: bytes) -> bool:
-        known = self._trust.get(ip)
+        known = self._trusted_ips.get(ip)
         if known is None:
             networks = self._settings.fleet.networks
             address = ipaddress.IPv4Address(ip)
             known = any(address in network for network in networks)
-            if len(self._trust) < MAX_CACHED_ADDRESSES:
-                self._trust[ip] = known
+            if len(self._trusted_ips) < MAX_CACHED_ADDRESSES:
+                self._trusted_ips[ip] = known
         return known
 
     def _on_link(self, arrival: link.ReceivedMessage) -> None:
@@ -208,7 +208,7 @@
                 self._on_fault(now_ms, failed)
 
     def _on_fault(self, now_ms: int, failed: Exception) -> None:
-        where = traceback.extract_tb(failed.__traceback__)[-TRACE_FRAMES:]
+        where = traceback.extract_tb(failed.__traceback__)[-MAX_TRACE_FRAMES:]
         item = message.log(
             "handling_failed",
             detail=repr(failed),
--- a/eelgrasswick/daemons/log.py
+++ b/eelgrasswick/daemons/log.py
@@ -29,7 +29,7 @@
     return log_line.render(fields["timestamp"], event, shown)
 
 
-def write_to(stream: typing.TextIO) -> None:
+def log_to_stream(stream: typing.TextIO) -> None:
     """Have eliot write its messages as lines to a stream."""
 
     def destination(fields: dict[str, typing.Any]) -> None:
@@ -39,7 +39,7 @@
     eliot.add_destinations(destination)
 
 
-def take_twisted(vm: str) -> None:
+def log_twisted_errors(vm: str) -> None:
     """Write errors that Twisted reports as events of this log.
 
     An error in a callback that nobody waits for would otherwise go to standard
--- a/eelgrasswick/daemons/metric.py
+++ b/eelgrasswick/daemons/metric.py
@@ -12,7 +12,7 @@
 PREFIX: typing.Final = "eelgrasswick."
 
 
-class Reading(typing.NamedTuple):
+class MetricValue(typing.NamedTuple):
     """One metric's value."""
 
     name: str
@@ -45,7 +45,7 @@
         meter.create_observable_gauge(PREFIX + "flows_open", [self._observe_open])
         meter.create_observable_gauge(PREFIX + "hints", [self._observe_hints])
 
-    def collect(self) -> list[Reading]:
+    def collect(self) -> list[MetricValue]:
         """Return the present values, by name."""
         data = self._reader.get_metrics_data()
         if data is None:
@@ -56,7 +56,7 @@
                 for metric in scope.metrics:
                     for point in metric.data.data_points:
                         value = getattr(point, "value", 0)
-                        readings.append(Reading(metric.name, value))
+                        readings.append(MetricValue(metric.name, value))
         return readings
 
     def _observe_counter(
--- a/tests/test_daemon_trust.py
+++ b/tests/test_daemon_trust.py
@@ -79,6 +79,6 @@
     monkeypatch.setattr(daemon, "MAX_CACHED_ADDRESSES", 2)
     for number in range(5):
         made.daemon._on_peer(packet.address(f"10.9.9.{number + 1}:6081"), b"junk")
-    assert len(made.daemon._trust) == 2
+    assert len(made.daemon._trusted_ips) == 2
     counter = message.Counter.PACKETS_UNKNOWN_SENDER
     assert made.engine.outbox.counts[counter] == 5
