--- a/eelgrasswick/commands/command.py
+++ b/eelgrasswick/commands/command.py
@@ -46,7 +46,7 @@
             log.log_twisted_errors(loaded.vm.name)
             compose.entry_daemon(default_reactor, loaded).start()
         except errors.EelgrasswickError as error:
-            console.fail(error)
+            console.exit_with_error(error)
         typing.cast(typing.Any, default_reactor).run(installSignalHandlers=False)
 
 
--- a/eelgrasswick/commands/command_load.py
+++ b/eelgrasswick/commands/command_load.py
@@ -31,9 +31,9 @@
     def __call__(self) -> None:
         """Run the scenario and print its figures."""
         try:
-            read = scenario_file.parse(console.text(self.scenario))
+            read = scenario_file.parse(console.read_text(self.scenario))
             run = experiment.Experiment(read, self.policy, self.seed)
         except errors.ScenarioInvalidError as error:
-            console.fail(error)
+            console.exit_with_error(error)
         result = run.run()
         print(json.dumps(result._asdict()) if self.as_json else result.line)
--- a/eelgrasswick/commands/command_operator.py
+++ b/eelgrasswick/commands/command_operator.py
@@ -37,7 +37,7 @@
 
     def __call__(self) -> None:
         """Print the faults; exit with 1 if there are any."""
-        faults = rule.parse(console.text(self.file)).faults
+        faults = rule.parse(console.read_text(self.file)).faults
         if self.as_json:
             print(json.dumps([item._asdict() for item in faults]))
         for item in faults:
@@ -68,7 +68,7 @@
 
     async def _apply(self, reactor: typing.Any) -> None:
         operator = _operator(reactor, self.platform, self.author)
-        plan = await operator.plan(console.text(self.file), console.now_ms())
+        plan = await operator.plan(console.read_text(self.file), console.now_ms())
         if self.based_on is not None:
             await _check_base(operator, plan, self.based_on)
         if self.dry_run:
@@ -115,13 +115,13 @@
 
     async def _watch(self, reactor: typing.Any) -> None:
         operator = _operator(reactor, self.platform, self.author)
-        follower = Follower(operator, self.file)
+        follower = FileWatcher(operator, self.file)
         while True:
-            wait_s = await follower.look(console.now_ms())
+            wait_s = await follower.poll(console.now_ms())
             await task.deferLater(reactor, wait_s)
 
 
-class Follower:
+class FileWatcher:
     """Submits a file whenever its text has changed."""
 
     def __init__(self, operator: change.Operator, file: pathlib.Path) -> None:
@@ -133,7 +133,7 @@
         self._failures = 0
         self._trouble = ""
 
-    async def look(self, now_ms: int) -> float:
+    async def poll(self, now_ms: int) -> float:
         """Submit the file if it was saved since the last look.
 
         Args:
--- a/eelgrasswick/commands/command_show.py
+++ b/eelgrasswick/commands/command_show.py
@@ -18,12 +18,12 @@
 from eelgrasswick.daemons import gateway
 from eelgrasswick.homes import explain
 
-ANSWER_S: typing.Final = 1.0
-TRIES: typing.Final = 3
-MAX_ASKED: typing.Final = 5
+RESPONSE_TIMEOUT_S: typing.Final = 1.0
+MAX_ATTEMPTS: typing.Final = 3
+MAX_QUERIED_VMS: typing.Final = 5
 _GONE: typing.Final = "gone"
 
-Question = wire.ExplainFlowRequest | wire.ExplainTargetRequest
+Query = wire.ExplainFlowRequest | wire.ExplainTargetRequest
 Flow = typing.Annotated[str, cappa.Arg(long="--flow", help="explain a flow")]
 Target = typing.Annotated[str, cappa.Arg(long="--target", help="explain a target")]
 Vm = typing.Annotated[str, cappa.Arg(long="--vm", help="peer address of a VM to ask")]
@@ -56,7 +56,7 @@
         else:
             console.run(lambda reactor: self._explain(reactor, question, first))
 
-    def _question(self) -> Question | None:
+    def _question(self) -> Query | None:
         if self.flow:
             return wire.ExplainFlowRequest(explain.parse_flow(self.flow).packed)
         return wire.ExplainTargetRequest(self.target) if self.target else None
@@ -67,12 +67,12 @@
         console.print_table(found, self.as_json)
 
     async def _explain(
-        self, reactor: typing.Any, question: Question, first: list[packet.Address]
+        self, reactor: typing.Any, question: Query, first: list[packet.Address]
     ) -> None:
         if not first:
             rows = await self._store(reactor).read_prefix(store.VMS_PREFIX)
             first = [item for row in rows for item in _peer_addresses(row)]
-        asker = Asker(reactor, self.source)
+        asker = ExplainClient(reactor, self.source)
         try:
             answers = await _ask_around(asker, question, first)
         finally:
@@ -83,7 +83,7 @@
         return gateway.Gateway(reactor, self.platform, console.STORE_TIMEOUT_MS)
 
 
-class Asker(protocol.DatagramProtocol):
+class ExplainClient(protocol.DatagramProtocol):
     """Asks entry VMs from a socket of its own, one question at a time."""
 
     def __init__(self, reactor: typing.Any, source: str) -> None:
@@ -92,20 +92,20 @@
         self._answers: dict[packet.Address, defer.Deferred[wire.ExplainResponse]] = {}
         self._port = reactor.listenUDP(0, self, source)
 
-    async def ask(self, vm: packet.Address, question: Question) -> wire.ExplainResponse:
+    async def query(self, vm: packet.Address, question: Query) -> wire.ExplainResponse:
         """Return a VM's answer.
 
         Raises:
             errors.VmSilentError: No answer came, after several tries.
         """
         host, _, port = str(vm).rpartition(":")
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             answer: defer.Deferred[wire.ExplainResponse] = defer.Deferred()
             self._answers[vm] = answer
             transport = typing.cast(typing.Any, self.transport)
             transport.write(wire.encode(question), (host, int(port)))
             try:
-                return await answer.addTimeout(ANSWER_S, self._reactor)
+                return await answer.addTimeout(RESPONSE_TIMEOUT_S, self._reactor)
             except defer.TimeoutError:
                 continue
         raise errors.VmSilentError(f"no answer from {vm}")
@@ -128,18 +128,18 @@
 
 
 async def _ask_around(
-    asker: Asker, question: Question, first: list[packet.Address]
+    asker: ExplainClient, question: Query, first: list[packet.Address]
 ) -> list[dict[str, str]]:
     """Ask one VM, then the home and the backup that it names."""
     answers: dict[packet.Address, dict[str, str]] = {}
-    waiting = first[:MAX_ASKED]
+    waiting = first[:MAX_QUERIED_VMS]
     silent: errors.VmSilentError | None = None
-    while waiting and len(answers) < MAX_ASKED:
+    while waiting and len(answers) < MAX_QUERIED_VMS:
         vm = waiting.pop(0)
         if vm in answers:
             continue
         try:
-            answer = await asker.ask(vm, question)
+            answer = await asker.query(vm, question)
         except errors.VmSilentError as error:
             print(error.detail, file=sys.stderr)
             silent = error
--- a/eelgrasswick/commands/command_standin.py
+++ b/eelgrasswick/commands/command_standin.py
@@ -67,7 +67,7 @@
         """Serve until ended, then write a report."""
         rng = random.Random(self.seed)
         spray = emulator.Spray(default_reactor, self.platform, rng)
-        rules = rule.read(console.text(self.rules))
+        rules = rule.read(console.read_text(self.rules))
         targets = emulator.Targets(default_reactor, rules, spray, rng)
         spray.start()
         reactor = typing.cast(typing.Any, default_reactor)
@@ -110,7 +110,7 @@
         reactor = typing.cast(typing.Any, default_reactor)
         calling = emulator.Calling(
             reactor,
-            rule.read(console.text(self.rules)),
+            rule.read(console.read_text(self.rules)),
             packet.address(self.fabric),
             load,
             random.Random(self.seed),
--- a/eelgrasswick/commands/command_story.py
+++ b/eelgrasswick/commands/command_story.py
@@ -31,4 +31,4 @@
 
 
 def _lines(path: pathlib.Path) -> list[str]:
-    return console.text(path).splitlines()
+    return console.read_text(path).splitlines()
--- a/eelgrasswick/commands/console.py
+++ b/eelgrasswick/commands/console.py
@@ -52,10 +52,10 @@
     except SystemExit:
         if not failures:
             raise
-    fail(failures[0])
+    exit_with_error(failures[0])
 
 
-def fail(error: BaseException) -> typing.NoReturn:
+def exit_with_error(error: BaseException) -> typing.NoReturn:
     """Print an error of the closed list to stderr and exit with its code."""
     if not isinstance(error, errors.EelgrasswickError):
         raise error
@@ -70,7 +70,7 @@
     print(f"{error.kind.value}: {error.handling.remedy}", file=sys.stderr, flush=True)
 
 
-def text(path: pathlib.Path) -> str:
+def read_text(path: pathlib.Path) -> str:
     """Read a file that an operator named, or exit with what is wrong with it."""
     try:
         return path.read_text(encoding="utf-8")
--- a/eelgrasswick/trials/trial.py
+++ b/eelgrasswick/trials/trial.py
@@ -106,7 +106,7 @@
                 for seed in range(self.seed, self.seed + self.seeds):
                     print_row(self._play(name, seed))
         except errors.ScenarioInvalidError as error:
-            console.fail(error)
+            console.exit_with_error(error)
 
     @abc.abstractmethod
     def _play(self, name: str, seed: int) -> typing.NamedTuple:
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -116,12 +116,12 @@
     # An operator starts to watch a copy that is older than what is accepted.
     # Submitted at once, it would take a colleague's lines out again.
     accept(made, rules.read_text() + "drain d1  # asked by Otieno\n", "otieno")
-    follower = command_operator.Follower(operator(made, "wanjiru"), rules)
-    made.wait(follower.look(LOOK_MS))
+    follower = command_operator.FileWatcher(operator(made, "wanjiru"), rules)
+    made.wait(follower.poll(LOOK_MS))
     assert "outcome=waits_for_save" in capsys.readouterr().out
     assert len(made.wait(operator(made, "x").audit())) == 1
     rules.write_text(rules.read_text() + "drain d2  # asked by Wanjiru\n")
-    made.wait(follower.look(LOOK_MS))
+    made.wait(follower.poll(LOOK_MS))
     assert "outcome=accepted sequence=2" in capsys.readouterr().out
 
 
@@ -132,11 +132,11 @@
     # the first one's line; it would vanish though its author saw it accepted.
     text = rules.read_text()
     accept(made, text, "wanjiru")
-    follower = command_operator.Follower(operator(made, "wanjiru"), rules)
-    made.wait(follower.look(LOOK_MS))
+    follower = command_operator.FileWatcher(operator(made, "wanjiru"), rules)
+    made.wait(follower.poll(LOOK_MS))
     accept(made, text + "drain d1  # asked by Otieno\n", "otieno")
     rules.write_text(text + "drain d2  # asked by Wanjiru\n")
-    made.wait(follower.look(LOOK_MS))
+    made.wait(follower.poll(LOOK_MS))
     shown = capsys.readouterr().err
     assert "otieno: +drain d1" in shown
     assert "change_conflict" in shown
@@ -144,7 +144,7 @@
     rules.write_text(
         text + "drain d1  # asked by Otieno\ndrain d2  # asked by Wanjiru\n"
     )
-    made.wait(follower.look(LOOK_MS))
+    made.wait(follower.poll(LOOK_MS))
     assert "outcome=accepted sequence=3" in capsys.readouterr().out
 
 
@@ -153,45 +153,45 @@
 ) -> None:
     # The platform is down when the operator saves. Without another try the
     # save would never go out, and no further line would say so.
-    follower = command_operator.Follower(operator(made, "wanjiru"), rules)
-    made.wait(follower.look(LOOK_MS))
+    follower = command_operator.FileWatcher(operator(made, "wanjiru"), rules)
+    made.wait(follower.poll(LOOK_MS))
     rules.write_text(rules.read_text() + "drain d2  # asked by Wanjiru\n")
     made.platform.set_faults(emulated_platform.Faults(outage=True))
-    made.wait(follower.look(LOOK_MS))
+    made.wait(follower.poll(LOOK_MS))
     assert "store_unavailable" in capsys.readouterr().err
     made.platform.set_faults(emulated_platform.Faults())
-    made.wait(follower.look(LOOK_MS))
+    made.wait(follower.poll(LOOK_MS))
     assert "outcome=accepted sequence=1" in capsys.readouterr().out
 
 
 def test_watch_outlives_a_file_that_is_replaced(
     made: world.World, rules: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    follower = command_operator.Follower(operator(made, "wanjiru"), rules)
-    made.wait(follower.look(LOOK_MS))
+    follower = command_operator.FileWatcher(operator(made, "wanjiru"), rules)
+    made.wait(follower.poll(LOOK_MS))
     text = rules.read_text()
     rules.unlink()
-    made.wait(follower.look(LOOK_MS))
-    made.wait(follower.look(LOOK_MS))
+    made.wait(follower.poll(LOOK_MS))
+    made.wait(follower.poll(LOOK_MS))
     assert capsys.readouterr().err.count("No such file") == 1
     rules.write_text(text + "drain d2  # asked by Wanjiru\n")
-    made.wait(follower.look(LOOK_MS))
+    made.wait(follower.poll(LOOK_MS))
     assert "outcome=accepted" in capsys.readouterr().out
 
 
 def test_watch_prints_faults_and_goes_on(
     made: world.World, rules: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    follower = command_operator.Follower(operator(made, "wanjiru"), rules)
-    made.wait(follower.look(LOOK_MS))
+    follower = command_operator.FileWatcher(operator(made, "wanjiru"), rules)
+    made.wait(follower.poll(LOOK_MS))
     text = rules.read_text()
     rules.write_text(text + "drain d2\nbogus # x\n")
-    made.wait(follower.look(LOOK_MS))
+    made.wait(follower.poll(LOOK_MS))
     shown = capsys.readouterr().err
     assert "rules_invalid: line 14, column 9" in shown
     assert "rules_invalid: line 15, column 1" in shown
     rules.write_text(text)
-    made.wait(follower.look(LOOK_MS))
+    made.wait(follower.poll(LOOK_MS))
     assert "outcome=accepted" in capsys.readouterr().out
 
 
