--- a/eelgrasswick/daemons/_body.py
+++ b/eelgrasswick/daemons/_body.py
@@ -1,4 +1,4 @@
-"""Takes the body of an HTTP answer piece by piece, and can be cancelled."""
+"""Streamed reading of an HTTP response body, with cancellation."""
 
 import typing
 
@@ -10,31 +10,31 @@
 
 
 class BodyReceiver(protocol.Protocol):
-    """The body of one answer.
+    """Passes the body of one HTTP response to a callback, chunk by chunk.
 
     Attributes:
-        done: Fires when the body has ended. Cancelling it also
-            ends the connection; were that left out, the platform would go on
-            to count a watch that nobody listens to.
+        done: Fires when the body has ended. Cancelling it closes the connection.
+            If the connection remained open, the platform would continue to count
+            a watch whose updates nobody reads.
     """
 
-    def __init__(self, take: typing.Callable[[bytes], None]) -> None:
-        """Pass each piece to ``take``, which may raise ``errors.StoreError``."""
-        self._take = take
-        self.done: defer.Deferred[None] = defer.Deferred(lambda _: self._lose())
+    def __init__(self, on_chunk: typing.Callable[[bytes], None]) -> None:
+        """Pass each chunk to ``on_chunk``, which may raise ``errors.StoreError``."""
+        self._on_chunk = on_chunk
+        self.done: defer.Deferred[None] = defer.Deferred(lambda _: self._close())
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take a piece."""
+        """Pass a chunk on; close the connection when the callback fails."""
         if self.done.called:
             return
         try:
-            self._take(data)
+            self._on_chunk(data)
         except errors.StoreError:
             self.done.errback(failure.Failure())
-            self._lose()
+            self._close()
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:  # noqa: N802
-        """Tell that the body has ended."""
+        """Fire ``done`` with the outcome of the body."""
         if self.done.called:
             return
         if reason.check(client.ResponseDone, http.PotentialDataLoss):
@@ -42,6 +42,6 @@
         else:
             self.done.errback(reason)
 
-    def _lose(self) -> None:
+    def _close(self) -> None:
         if self.transport is not None:
             typing.cast(typing.Any, self.transport).loseConnection()
--- a/eelgrasswick/daemons/link_pool.py
+++ b/eelgrasswick/daemons/link_pool.py
@@ -1,4 +1,4 @@
-"""The links that a VM opens to others, one for each, on its first message."""
+"""The links that a VM opens: one to each peer, opened by its first message."""
 
 import collections
 import typing
@@ -14,14 +14,16 @@
     tls,
 )
 
+# Bound on the messages that wait for one peer.
 MAX_QUEUED_MESSAGES: typing.Final = 256
+# A link without a message for this long is closed.
 IDLE_CLOSE_S: typing.Final = 60.0
 CONNECT_TIMEOUT_S: typing.Final = 1.0
 _MAX_RESPONSE_BYTES: typing.Final = 1024
 
 
 class Receiver(typing.NamedTuple):
-    """The VM at the other end of a link, and where it takes links."""
+    """The VM at the accepting end of a link, and the address where it listens."""
 
     name: str
     address: packet.Address
@@ -31,90 +33,96 @@
     """The opening end of one link."""
 
     def __init__(self, name: str, receiver: Receiver, pool: "LinkPool") -> None:
-        """Open as the VM ``name`` to another VM, for a pool."""
-        target = uri.parse_uri(f"ws://{receiver.address}{link.PATH_PREFIX}{name}")
+        """Create the protocol of one opened link.
+
+        Args:
+            name: Name of this VM, which the link's path contains.
+            receiver: VM at the accepting end.
+            pool: Pool that contains this link.
+        """
+        url = uri.parse_uri(f"ws://{receiver.address}{link.PATH_PREFIX}{name}")
         self._receiver = receiver
         self._pool = pool
-        self._socket = client.ClientProtocol(target, max_size=_MAX_RESPONSE_BYTES)
-        self._waiting: collections.deque[bytes] = collections.deque()
+        self._websocket = client.ClientProtocol(url, max_size=_MAX_RESPONSE_BYTES)
+        self._queue: collections.deque[bytes] = collections.deque()
         self._open = False
         self._paused = False
 
     def connectionMade(self) -> None:  # noqa: N802
         """Send the opening handshake."""
         link.set_tcp_user_timeout(self.transport)
-        # A process that is stopped still has its connections accepted by the
-        # kernel. Without a bound the messages for it would wait here for good,
-        # and those for a VM that came back would never leave.
+        # The kernel accepts connections for a process that is stopped. Without a
+        # time-out, messages to that process would stay queued forever, and messages
+        # to a VM that came back would never be sent.
         self.setTimeout(link.HANDSHAKE_TIMEOUT_S)
         transport = typing.cast(typing.Any, self.transport)
         transport.registerProducer(self, True)
-        self._socket.send_request(self._socket.connect())
+        self._websocket.send_request(self._websocket.connect())
         self._flush()
 
     def timeoutConnection(self) -> None:  # noqa: N802
-        """Give up a handshake that got no answer."""
+        """Abort the link when the handshake got no response in time."""
         self.abort()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes from the transport."""
-        self._socket.receive_data(data)
-        for event in self._socket.events_received():
+        """Process bytes received from the transport."""
+        self._websocket.receive_data(data)
+        for event in self._websocket.events_received():
             if isinstance(event, http11.Response):
-                self._answered()
-        if self._socket.parser_exc or self._socket.handshake_exc:
+                self._on_handshake_response()
+        if self._websocket.parser_exc or self._websocket.handshake_exc:
             self.abort()
             return
         self._flush()
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:  # noqa: N802
-        """Tell the pool that the link is over."""
+        """Remove the closed link from its pool."""
         self._open = False
         self.setTimeout(None)
         self._pool.remove(self._receiver, self)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Keep messages, because the other end takes none at present."""
+        """Queue messages while the transport's buffer is full."""
         self._paused = True
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Send what was kept."""
+        """Send the queued messages."""
         self._paused = False
         self._drain()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Stop, because the connection is over."""
+        """Stop sending, because the connection has closed."""
         self._open = False
 
     def send(self, payload: bytes) -> None:
-        """Send a message, or keep it until the other end takes it.
+        """Send a message, or queue it until the link can send.
 
-        The queue is bounded; when it is full the oldest message goes. Peers
-        repeat what matters: pings tell the newest configuration, and a change
-        of homes sends exceptions again.
+        The queue is bounded; when it is full, the oldest message is dropped. Peers
+        recover from that: pings announce the newest configuration, and a change of
+        homes sends exceptions again.
         """
-        if len(self._waiting) >= MAX_QUEUED_MESSAGES:
-            self._waiting.popleft()
+        if len(self._queue) >= MAX_QUEUED_MESSAGES:
+            self._queue.popleft()
             self._pool.on_drop()
-        self._waiting.append(payload)
+        self._queue.append(payload)
         self._drain()
 
     def abort(self) -> None:
-        """End the link at once; what has not left yet is lost."""
+        """Close the link at once; messages not yet sent are lost."""
         self._open = False
         if self.transport is not None:
             typing.cast(typing.Any, self.transport).abortConnection()
 
     def close_gracefully(self) -> None:
-        """End the link after what was written has left."""
+        """Close the link after the written data has been sent."""
         self._open = False
         if self.transport is not None:
             transport = typing.cast(typing.Any, self.transport)
             transport.unregisterProducer()
             transport.loseConnection()
 
-    def _answered(self) -> None:
-        if self._socket.handshake_exc is not None:
+    def _on_handshake_response(self) -> None:
+        if self._websocket.handshake_exc is not None:
             return
         name = self._receiver.name
         if self._pool.secure and name not in tls.peer_dns_names(self.transport):
@@ -125,21 +133,26 @@
         self._drain()
 
     def _drain(self) -> None:
-        while self._open and not self._paused and self._waiting:
+        while self._open and not self._paused and self._queue:
             try:
-                self._socket.send_binary(self._waiting.popleft())
+                self._websocket.send_binary(self._queue.popleft())
             except exceptions.InvalidState:
-                # The other end has said that it closes, but holds the connection.
+                # The other end has sent a close frame, but keeps the connection open.
                 self.abort()
                 return
             self._flush()
 
     def _flush(self) -> None:
-        link.write_chunks(self.transport, self._socket.data_to_send())
+        link.write_chunks(self.transport, self._websocket.data_to_send())
 
 
 class LinkPool:
-    """The links this VM has opened; each opens with its first message."""
+    """The links that this VM has opened, by receiver.
+
+    Attributes:
+        secure: True when links use TLS.
+        on_drop: Called for each message that is dropped.
+    """
 
     def __init__(
         self,
@@ -147,71 +160,71 @@
         name: str,
         ip: str,
         identity: tls.Identity | None,
-        dropped: typing.Callable[[], None],
+        on_drop: typing.Callable[[], None],
     ) -> None:
-        """Open links as the VM ``name`` from the address ``ip``.
+        """Create a pool without links.
 
         Args:
             reactor: Twisted's reactor.
             name: Name of this VM.
             ip: Address from which to connect.
             identity: Certificate of this VM; None for plain TCP.
-            dropped: Called for each message that is dropped.
+            on_drop: Called for each message that is dropped.
         """
         self.secure = identity is not None
-        self.on_drop = dropped
+        self.on_drop = on_drop
         self._reactor = reactor
         self._name = name
         self._ip = ip
         self._identity = identity
         self._links: dict[Receiver, LinkClient] = {}
-        self._connecting: dict[Receiver, defer.Deferred[typing.Any]] = {}
-        self._used_s: dict[Receiver, float] = {}
+        self._attempts: dict[Receiver, defer.Deferred[typing.Any]] = {}
+        self._last_sent_s: dict[Receiver, float] = {}
 
     def send(self, receiver: Receiver, payload: bytes) -> None:
-        """Send a message to a VM."""
-        self._used_s[receiver] = self._reactor.seconds()
-        found = self._links.get(receiver)
-        if found is None:
-            found = self._connect(receiver)
-        found.send(payload)
+        """Send a message to a VM; the first one opens the link."""
+        self._last_sent_s[receiver] = self._reactor.seconds()
+        opened_link = self._links.get(receiver)
+        if opened_link is None:
+            opened_link = self._connect(receiver)
+        opened_link.send(payload)
 
     def close_idle(self) -> None:
-        """Close links that carried nothing for a while."""
+        """Close links that sent no message for ``IDLE_CLOSE_S``."""
         now_s = self._reactor.seconds()
-        for receiver, used_s in list(self._used_s.items()):
-            if now_s - used_s > IDLE_CLOSE_S:
-                del self._used_s[receiver]
-                found = self._links.get(receiver)
-                if found is not None:
-                    found.abort()
+        for receiver, last_sent_s in list(self._last_sent_s.items()):
+            if now_s - last_sent_s > IDLE_CLOSE_S:
+                del self._last_sent_s[receiver]
+                opened_link = self._links.get(receiver)
+                if opened_link is not None:
+                    opened_link.abort()
 
     def close(self) -> None:
-        """Close all links, and stop opening others."""
-        for connecting in list(self._connecting.values()):
-            connecting.cancel()
-        for found in list(self._links.values()):
-            found.close_gracefully()
-
-    def remove(self, receiver: Receiver, over: LinkClient) -> None:
-        """Forget a link that is over."""
-        if self._links.get(receiver) is over:
+        """Close all links, and cancel connection attempts."""
+        for attempt in list(self._attempts.values()):
+            attempt.cancel()
+        for opened_link in list(self._links.values()):
+            opened_link.close_gracefully()
+
+    def remove(self, receiver: Receiver, closed: LinkClient) -> None:
+        """Remove a closed link, unless another one has replaced it."""
+        if self._links.get(receiver) is closed:
             del self._links[receiver]
 
     def _connect(self, receiver: Receiver) -> LinkClient:
-        opening = LinkClient(self._name, receiver, self)
-        self._links[receiver] = opening
-        connecting = endpoints.connectProtocol(self._endpoint(receiver), opening)
-        self._connecting[receiver] = connecting
-        connecting.addBoth(self._connected, receiver, opening)
-        return opening
-
-    def _connected(
-        self, result: typing.Any, receiver: Receiver, opening: LinkClient
+        opened = LinkClient(self._name, receiver, self)
+        self._links[receiver] = opened
+        attempt = endpoints.connectProtocol(self._endpoint(receiver), opened)
+        self._attempts[receiver] = attempt
+        attempt.addBoth(self._on_connected, receiver, opened)
+        return opened
+
+    def _on_connected(
+        self, result: typing.Any, receiver: Receiver, opened: LinkClient
     ) -> None:
-        self._connecting.pop(receiver, None)
+        self._attempts.pop(receiver, None)
         if isinstance(result, failure.Failure):
-            self.remove(receiver, opening)
+            self.remove(receiver, opened)
 
     def _endpoint(self, receiver: Receiver) -> typing.Any:
         host, _, port = str(receiver.address).rpartition(":")
