--- a/eelgrasswick/commands/command.py
+++ b/eelgrasswick/commands/command.py
@@ -1,4 +1,4 @@
-"""The command line: the root of all commands."""
+"""The command line: the group of all commands, and the command ``entry``."""
 
 import dataclasses
 import pathlib
@@ -39,12 +39,12 @@
     settings: pathlib.Path
 
     def __call__(self) -> None:
-        """Run until SIGTERM; leave the fleet, then end."""
+        """Run an entry VM; on SIGTERM it leaves the fleet and the process exits."""
         try:
-            loaded = setting.load(self.settings)
+            settings = setting.load(self.settings)
             log.log_to_stream(sys.stdout)
-            log.log_twisted_errors(loaded.vm.name)
-            compose.entry_daemon(default_reactor, loaded).start()
+            log.log_twisted_errors(settings.vm.name)
+            compose.entry_daemon(default_reactor, settings).start()
         except errors.EelgrasswickError as error:
             console.exit_with_error(error)
         typing.cast(typing.Any, default_reactor).run(installSignalHandlers=False)
@@ -53,7 +53,7 @@
 @cappa.command(name="eelgrasswick", help="a layer-4 load balancer fleet")
 @dataclasses.dataclass
 class Eelgrasswick:
-    """All commands."""
+    """The group of all commands."""
 
     command: cappa.Subcommands[
         command_operator.Check
--- a/eelgrasswick/commands/command_load.py
+++ b/eelgrasswick/commands/command_load.py
@@ -1,4 +1,4 @@
-"""The command ``load``: measures a policy on a scenario in virtual time."""
+"""The command ``load``: measures a placement policy in virtual time."""
 
 import dataclasses
 import json
@@ -29,11 +29,11 @@
     as_json: console.Json = False
 
     def __call__(self) -> None:
-        """Run the scenario and print its figures."""
+        """Run the scenario and print its measurements."""
         try:
-            read = scenario_file.parse(console.read_text(self.scenario))
-            run = experiment.Experiment(read, self.policy, self.seed)
+            parsed = scenario_file.parse(console.read_text(self.scenario))
+            measurement = experiment.Experiment(parsed, self.policy, self.seed)
         except errors.ScenarioInvalidError as error:
             console.exit_with_error(error)
-        result = run.run()
+        result = measurement.run()
         print(json.dumps(result._asdict()) if self.as_json else result.line)
--- a/eelgrasswick/commands/command_operator.py
+++ b/eelgrasswick/commands/command_operator.py
@@ -1,4 +1,4 @@
-"""Commands of operators: check, apply, watch, show and audit."""
+"""Commands for operators: check, apply, watch and audit."""
 
 import dataclasses
 import getpass
@@ -19,8 +19,8 @@
 from eelgrasswick.daemons import gateway
 from eelgrasswick.decisions import backoff
 
-_WATCH_S: typing.Final = 0.5
-_NEVER_SEEN: typing.Final = -1
+_POLL_INTERVAL_S: typing.Final = 0.5
+_NO_SEQUENCE: typing.Final = -1
 BasedOn = typing.Annotated[
     int | None,
     cappa.Arg(long="--based-on", help="sequence that the file was edited from"),
@@ -36,7 +36,7 @@
     as_json: console.Json = False
 
     def __call__(self) -> None:
-        """Print the faults; exit with 1 if there are any."""
+        """Print the faults; exit with the code for invalid rules if there are any."""
         faults = rule.parse(console.read_text(self.file)).faults
         if self.as_json:
             print(json.dumps([item._asdict() for item in faults]))
@@ -63,7 +63,7 @@
     as_json: console.Json = False
 
     def __call__(self) -> None:
-        """Show the difference, submit it and tell how it ended."""
+        """Print the difference, submit it and print the outcome."""
         console.run(self._apply)
 
     async def _apply(self, reactor: typing.Any) -> None:
@@ -77,16 +77,16 @@
                 plan.lines, self.as_json, outcome="dry_run", sequence=before
             )
             return
-        _tell(await operator.submit(plan), self.as_json)
+        _print_result(await operator.submit(plan), self.as_json)
 
 
 async def _check_base(
     operator: change.Operator, plan: change.Plan, based_on: int
 ) -> None:
-    # The comparison in the store only covers the moment between reading and
-    # writing. A file that was edited from an older text would take another
-    # operator's lines out again; the other one would see them accepted and then
-    # gone. So the sequence that the edit started from is compared as well.
+    # The store's comparison covers only the time between reading and writing. A file
+    # that was edited from an older text would remove another operator's lines, after
+    # that operator has seen them accepted. Therefore the sequence from which the
+    # edit started is compared as well.
     if plan.empty or plan.before.sequence == based_on:
         return
     print(
@@ -110,81 +110,84 @@
     author: console.Author = ""
 
     def __call__(self) -> None:
-        """Submit on every save until interrupted."""
+        """Submit the file after every save until interrupted."""
         console.run(self._watch)
 
     async def _watch(self, reactor: typing.Any) -> None:
         operator = _operator(reactor, self.platform, self.author)
-        follower = FileWatcher(operator, self.file)
+        watcher = FileWatcher(operator, self.file)
         while True:
-            wait_s = await follower.poll(console.now_ms())
+            wait_s = await watcher.poll(console.now_ms())
             await task.deferLater(reactor, wait_s)
 
 
 class FileWatcher:
-    """Submits a file whenever its text has changed."""
+    """Submits a rules file whenever its text has changed."""
 
     def __init__(self, operator: change.Operator, file: pathlib.Path) -> None:
-        """Follow one file in the name of one operator."""
+        """Create a watcher of one file that submits as one operator."""
         self._operator = operator
         self._file = file
-        self._seen: str | None = None
-        self._sequence = _NEVER_SEEN
+        self._handled_text: str | None = None
+        self._base_sequence = _NO_SEQUENCE
         self._failures = 0
-        self._trouble = ""
+        self._last_read_error = ""
 
     async def poll(self, now_ms: int) -> float:
-        """Submit the file if it was saved since the last look.
+        """Submit the file if its text has changed since the last poll.
 
         Args:
             now_ms: Wall-clock time in milliseconds.
 
         Returns:
-            Seconds to wait before the next look.
+            Seconds to wait before the next poll.
         """
         text = self._read()
-        if text is None or text == self._seen:
-            return _WATCH_S
+        if text is None or text == self._handled_text:
+            return _POLL_INTERVAL_S
         try:
             await self._submit(text, now_ms)
         except (errors.StoreError, errors.ChangeUnknownError) as error:
-            # An outage must not lose a save: the operator would take it for
-            # submitted. The same text is tried again until there is an answer.
+            # A save during an outage must not be lost, because the operator assumes
+            # that it is submitted. The same text is submitted again until the store
+            # responds.
             console.print_error(error)
             self._failures += 1
-            return max(_WATCH_S, backoff.wait_ms(self._failures, 0.5) / 1000)
+            return max(_POLL_INTERVAL_S, backoff.wait_ms(self._failures, 0.5) / 1000)
         except errors.EelgrasswickError as error:
             console.print_error(error)
         self._failures = 0
-        self._seen = text
-        return _WATCH_S
+        self._handled_text = text
+        return _POLL_INTERVAL_S
 
     def _read(self) -> str | None:
-        # An editor may replace the file, so that for a moment there is none.
-        # Were that an end of the watch, later saves would go nowhere.
+        # An editor may replace the file, which is then missing for a moment. The
+        # command continues, because it would otherwise not submit later saves.
         try:
             text = self._file.read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
-            if str(error) != self._trouble:
+            if str(error) != self._last_read_error:
                 print(f"{self._file}: {error}", file=sys.stderr, flush=True)
-            self._trouble = str(error)
+            self._last_read_error = str(error)
             return None
-        self._trouble = ""
+        self._last_read_error = ""
         return text
 
     async def _submit(self, text: str, now_ms: int) -> None:
         plan = await self._operator.plan(text, now_ms)
-        base = self._sequence
-        # After a conflict is shown once, the next save is taken as an answer.
-        self._sequence = plan.before.sequence
-        if base == _NEVER_SEEN:
-            # A start is no save: the file may be older than what is accepted.
+        base_sequence = self._base_sequence
+        # A conflict is printed once. The operator has then seen the other changes,
+        # and the next save is submitted on top of them.
+        self._base_sequence = plan.before.sequence
+        if base_sequence == _NO_SEQUENCE:
+            # The file is not submitted at the start of the command, because it may
+            # be older than the accepted rules.
             console.print_lines(plan.lines, False, outcome="waits_for_save")
             return
-        await _check_base(self._operator, plan, base)
+        await _check_base(self._operator, plan, base_sequence)
         result = await self._operator.submit(plan)
-        self._sequence = result.sequence
-        _tell(result, False)
+        self._base_sequence = result.sequence
+        _print_result(result, False)
 
 
 @cappa.command(name="audit", help="show who changed what, and how it ended")
@@ -196,7 +199,7 @@
     as_json: console.Json = False
 
     def __call__(self) -> None:
-        """Print one line per submission."""
+        """Print one line per change."""
         console.run(self._audit)
 
     async def _audit(self, reactor: typing.Any) -> None:
@@ -209,7 +212,7 @@
     return change.Operator(platform, author or getpass.getuser())
 
 
-def _tell(result: change.Result, as_json: bool) -> None:
+def _print_result(result: change.Result, as_json: bool) -> None:
     console.print_lines(
         result.lines,
         as_json,
--- a/eelgrasswick/commands/command_standin.py
+++ b/eelgrasswick/commands/command_standin.py
@@ -1,4 +1,4 @@
-"""Commands that run the stand-ins of what lies around the system."""
+"""Commands that run stand-ins for the systems that the load balancer uses."""
 
 import dataclasses
 import pathlib
@@ -25,7 +25,7 @@
     address: str
 
     def __call__(self) -> None:
-        """Serve until ended."""
+        """Serve until interrupted."""
         emulator.run_platform(default_reactor, packet.address(self.address))
         typing.cast(typing.Any, default_reactor).run()
 
@@ -41,7 +41,7 @@
     seed: console.Seed = 1
 
     def __call__(self) -> None:
-        """Spray packets until ended."""
+        """Distribute packets to the VMs until interrupted."""
         spray = emulator.Spray(default_reactor, self.platform, random.Random(self.seed))
         emulator.Fabric(
             default_reactor,
@@ -64,7 +64,7 @@
     seed: console.Seed = 1
 
     def __call__(self) -> None:
-        """Serve until ended, then write a report."""
+        """Serve until interrupted, then write a report."""
         rng = random.Random(self.seed)
         spray = emulator.Spray(default_reactor, self.platform, rng)
         rules = rule.read(console.read_text(self.rules))
@@ -97,7 +97,7 @@
     seed: console.Seed = 1
 
     def __call__(self) -> None:
-        """Call until done, then write a report."""
+        """Send requests for the configured time, then write a report."""
         load = emulator.Load(
             self.rate_per_s,
             self.duration_s,
--- a/eelgrasswick/commands/command_story.py
+++ b/eelgrasswick/commands/command_story.py
@@ -1,4 +1,4 @@
-"""The command ``story``: what the logs say of one flow."""
+"""The command ``story``: log lines of entry VMs that concern one flow."""
 
 import dataclasses
 import pathlib
@@ -19,14 +19,14 @@
     logs: typing.Annotated[list[pathlib.Path], cappa.Arg(help="log files")]
 
     def __call__(self) -> None:
-        """Print the story, or say that no log knows the flow."""
+        """Print the flow's log lines by section, or exit with 1 when there are none."""
         lines = [line for path in self.logs for line in _lines(path)]
-        told = story.extract(lines, self.flow)
-        if not told.flow:
-            raise cappa.Exit(f"no log names {self.flow}", code=1)
-        for title, part in told._asdict().items():
+        found = story.extract(lines, self.flow)
+        if not found.flow:
+            raise cappa.Exit(f"no log contains {self.flow}", code=1)
+        for title, section in found._asdict().items():
             print(f"{title}:")
-            for line in part:
+            for line in section:
                 print(f"  {line}")
 
 
--- a/eelgrasswick/commands/console.py
+++ b/eelgrasswick/commands/console.py
@@ -1,4 +1,4 @@
-"""What the commands share: running work, printing, and ending with a code."""
+"""Helpers shared by the commands: running, printing, and exit codes."""
 
 import json
 import pathlib
@@ -28,26 +28,26 @@
 def run(
     work: typing.Callable[[typing.Any], typing.Coroutine[typing.Any, typing.Any, None]],
 ) -> None:
-    """Run a coroutine on the reactor and end the process with its outcome.
+    """Run a coroutine on the reactor and exit with its outcome.
 
     Args:
         work: Called with the reactor.
 
     Raises:
-        cappa.Exit: The work ended with an error of the closed list.
+        cappa.Exit: The work raised an ``errors.EelgrasswickError``.
     """
     failures: list[BaseException] = []
 
     def start(reactor: typing.Any) -> defer.Deferred[None]:
-        done: defer.Deferred[None] = defer.Deferred.fromCoroutine(work(reactor))
-        done.addErrback(note)
-        return done
+        running: defer.Deferred[None] = defer.Deferred.fromCoroutine(work(reactor))
+        running.addErrback(record_failure)
+        return running
 
-    def note(failure: typing.Any) -> None:
+    def record_failure(failure: typing.Any) -> None:
         failures.append(failure.value)
 
     try:
-        # ``react`` ends with SystemExit, also when the work has failed.
+        # ``react`` raises SystemExit, also when the work has failed.
         task.react(start)
     except SystemExit:
         if not failures:
@@ -56,7 +56,10 @@
 
 
 def exit_with_error(error: BaseException) -> typing.NoReturn:
-    """Print an error of the closed list to stderr and exit with its code."""
+    """Print an ``errors.EelgrasswickError`` to stderr and exit with its code.
+
+    Any other exception is raised again.
+    """
     if not isinstance(error, errors.EelgrasswickError):
         raise error
     print_error(error)
@@ -64,14 +67,14 @@
 
 
 def print_error(error: errors.EelgrasswickError) -> None:
-    """Print what went wrong, a line per fault, then what to do about it."""
+    """Print an error, one line per fault, and then its remedy."""
     for line in error.detail.splitlines():
         print(f"{error.kind.value}: {line}", file=sys.stderr)
     print(f"{error.kind.value}: {error.handling.remedy}", file=sys.stderr, flush=True)
 
 
 def read_text(path: pathlib.Path) -> str:
-    """Read a file that an operator named, or exit with what is wrong with it."""
+    """Return the text of a file; print an error and exit if it can't be read."""
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -82,7 +85,7 @@
 def print_lines(
     lines: typing.Sequence[str], as_json: bool, **fields: str | int
 ) -> None:
-    """Print lines and, last, key=value pairs; or all of it as one JSON object."""
+    """Print lines and then key=value pairs, or all of it as one JSON object."""
     if as_json:
         print(json.dumps({**fields, "lines": list(lines)}), flush=True)
         return
@@ -97,12 +100,12 @@
         print(json.dumps(rows))
         return
     for row in rows:
-        print(" ".join(f"{key}={_shown(value)}" for key, value in row.items()))
+        print(" ".join(f"{key}={_format_value(value)}" for key, value in row.items()))
 
 
-def _shown(value: Scalar) -> str:
-    shown = "; ".join(value) if isinstance(value, tuple) else str(value)
-    return json.dumps(shown) if " " in shown or not shown else shown
+def _format_value(value: Scalar) -> str:
+    formatted = "; ".join(value) if isinstance(value, tuple) else str(value)
+    return json.dumps(formatted) if " " in formatted or not formatted else formatted
 
 
 def now_ms() -> int:
--- a/eelgrasswick/daemons/__init__.py
+++ b/eelgrasswick/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, links, settings and logs around an engine."""
+"""The daemon of an entry VM: sockets, links, settings, logs and metrics."""
--- a/eelgrasswick/daemons/log.py
+++ b/eelgrasswick/daemons/log.py
@@ -1,4 +1,4 @@
-"""Logs through eliot: one line of key=value pairs for each event."""
+"""Logging through eliot, with one line of key=value pairs for each event."""
 
 import typing
 
@@ -10,7 +10,8 @@
     message,
 )
 
-_HIDDEN: typing.Final = frozenset(
+# Fields that eliot adds; the time and the event name come first in each line.
+_ELIOT_FIELDS: typing.Final = frozenset(
     {"timestamp", "task_uuid", "task_level", "message_type"}
 )
 
@@ -22,15 +23,15 @@
         fields: The message as eliot passes it to a destination.
 
     Returns:
-        The line, without a line end; ``at`` and ``event`` come first.
+        The line, without a line end; ``at`` and ``event`` are the first fields.
     """
-    shown = {key: value for key, value in fields.items() if key not in _HIDDEN}
+    visible = {key: value for key, value in fields.items() if key not in _ELIOT_FIELDS}
     event = fields.get("message_type", "unnamed")
-    return log_line.render(fields["timestamp"], event, shown)
+    return log_line.render(fields["timestamp"], event, visible)
 
 
 def log_to_stream(stream: typing.TextIO) -> None:
-    """Have eliot write its messages as lines to a stream."""
+    """Make eliot write its messages as lines to a stream."""
 
     def destination(fields: dict[str, typing.Any]) -> None:
         stream.write(render(fields) + "\n")
@@ -40,10 +41,13 @@
 
 
 def log_twisted_errors(vm: str) -> None:
-    """Write errors that Twisted reports as events of this log.
+    """Log errors that Twisted reports as events ``twisted_error``.
 
-    An error in a callback that nobody waits for would otherwise go to standard
-    error in many lines, where no grep by VM finds it.
+    An unhandled error in a callback would otherwise be written to standard error as
+    a traceback of many lines, which a search of the log by VM does not find.
+
+    Args:
+        vm: Name of this VM.
     """
 
     def observer(event: typing.Any) -> None:
@@ -57,23 +61,28 @@
 
 
 class Logger:
-    """Writes log actions, each sort at a bounded rate.
+    """Writes log actions, with a limit on the lines of each event a second.
 
-    The next second tells how many lines were left out.
+    The number of suppressed lines is logged in the next second.
     """
 
     def __init__(self, vm: str, per_s: int) -> None:
-        """Name the VM in every line; write ``per_s`` lines of a sort a second."""
+        """Create a logger.
+
+        Args:
+            vm: Name of this VM, which each line contains.
+            per_s: Number of lines of each event that are written a second.
+        """
         self._vm = vm
-        self._bound = log_line.LineRateLimiter(per_s)
+        self._limiter = log_line.LineRateLimiter(per_s)
 
     def write(self, now_ms: int, item: message.Log) -> None:
-        """Write one event, unless its sort has had its lines this second."""
-        for sort, count in self._bound.next_second(now_ms):
+        """Write one event, unless its lines of this second are used up."""
+        for event, count in self._limiter.next_second(now_ms):
             eliot.log_message(
-                message_type="log_bounded", vm=self._vm, sort=sort, left_out=count
+                message_type="log_bounded", vm=self._vm, sort=event, left_out=count
             )
-        if not self._bound.allows(item.name):
+        if not self._limiter.allows(item.name):
             return
         fields: dict[str, str | int | float] = {"vm": self._vm}
         fields.update(item.fields)
--- a/eelgrasswick/daemons/metric.py
+++ b/eelgrasswick/daemons/metric.py
@@ -1,4 +1,4 @@
-"""Metrics of an entry VM through OpenTelemetry."""
+"""Metrics of an entry VM, exported through OpenTelemetry."""
 
 import typing
 
@@ -13,24 +13,29 @@
 
 
 class MetricValue(typing.NamedTuple):
-    """One metric's value."""
+    """The present value of one metric.
+
+    Attributes:
+        name: Name of the metric, with ``PREFIX``.
+        value: Its value.
+    """
 
     name: str
     value: int | float
 
 
 class Meter:
-    """Observes an engine's counts, and hands them out when collected."""
+    """Exports an engine's counters and gauges as metrics."""
 
     def __init__(
         self,
         observed: engine.Engine,
         readers: typing.Sequence[export.MetricReader] = (),
     ) -> None:
-        """Register one instrument for each count of an engine.
+        """Register an instrument for each counter and gauge of an engine.
 
         Args:
-            observed: The engine.
+            observed: Engine whose counters and gauges are exported.
             readers: Further readers, for example one that exports by OTLP.
         """
         self._engine = observed
@@ -46,18 +51,18 @@
         meter.create_observable_gauge(PREFIX + "hints", [self._observe_hints])
 
     def collect(self) -> list[MetricValue]:
-        """Return the present values, by name."""
+        """Return the present value of each metric."""
         data = self._reader.get_metrics_data()
         if data is None:
             return []
-        readings = []
+        values = []
         for resource in data.resource_metrics:
             for scope in resource.scope_metrics:
                 for metric in scope.metrics:
                     for point in metric.data.data_points:
                         value = getattr(point, "value", 0)
-                        readings.append(MetricValue(metric.name, value))
-        return readings
+                        values.append(MetricValue(metric.name, value))
+        return values
 
     def _observe_counter(
         self, counter: message.Counter
--- a/eelgrasswick/daemons/setting.py
+++ b/eelgrasswick/daemons/setting.py
@@ -1,4 +1,4 @@
-"""Settings of an entry VM: an INI file, checked whole at start."""
+"""Settings of an entry VM, read from an INI file and checked at start."""
 
 import ipaddress
 import pathlib
@@ -12,7 +12,7 @@
 
 
 class VmSettings(typing.NamedTuple):
-    """Section ``vm``: who this VM is and where it listens."""
+    """Section ``vm``: name, zone, addresses and relative strength of this VM."""
 
     name: str
     zone: str
@@ -24,28 +24,28 @@
 
 
 class FleetSettings(typing.NamedTuple):
-    """Section ``fleet``: where other VMs are and which addresses are trusted."""
+    """Section ``fleet``: trusted networks, and addresses of some peers."""
 
     networks: tuple[ipaddress.IPv4Network, ...]
     seeds: tuple[packet.Address, ...]
 
 
 class PlatformSettings(typing.NamedTuple):
-    """Section ``platform``: the store and how long to wait for it."""
+    """Section ``platform``: URL of the store and time-out of its calls."""
 
     url: str
     timeout_ms: int
 
 
 class LogSettings(typing.NamedTuple):
-    """Section ``log``: bounds on what is written."""
+    """Section ``log``: limit on log lines, and the interval of metrics."""
 
     dropped_per_s: int
     metrics_interval_s: int
 
 
 class TlsSettings(typing.NamedTuple):
-    """Section ``tls``: PEM files for the links; all empty for plain TCP."""
+    """Section ``tls``: paths of the PEM files for links; empty for plain TCP."""
 
     certificate: str
     key: str
@@ -72,10 +72,10 @@
 
 
 def url(text: str) -> str:
-    """Check the base URL of the store.
+    """Return the base URL of the store, without a slash at its end.
 
     Raises:
-        ValueError: The text has another form.
+        ValueError: The text is not an HTTP URL without a path.
     """
     if not re.fullmatch(r"https?://[^\s/]+(:\d+)?/?", text):
         raise ValueError("write it like http://10.0.0.1:2379")
@@ -135,22 +135,22 @@
         The settings.
 
     Raises:
-        errors.SettingsInvalidError: The detail names every fault.
+        errors.SettingsInvalidError: The detail lists every fault, one per line.
     """
     return read(ini.text(path))
 
 
 def read(text: str) -> Settings:
-    """Check a settings text.
+    """Parse and check the text of a settings file.
 
     Args:
-        text: The whole file.
+        text: Content of the INI file.
 
     Returns:
         The settings.
 
     Raises:
-        errors.SettingsInvalidError: The detail names every fault, one a line.
+        errors.SettingsInvalidError: The detail lists every fault, one per line.
     """
     values = ini.read(text, ENTRIES)
     return Settings(
