--- a/tests/test_daemon_trust.py
+++ b/tests/test_daemon_trust.py
@@ -1,4 +1,4 @@
-"""Only addresses of the fleet's networks are heard on the peer port."""
+"""The peer port accepts datagrams from the fleet's networks only."""
 
 import random
 import typing
@@ -32,53 +32,57 @@
 """
 
 
-class Made(typing.NamedTuple):
-    """A daemon without sockets, and its engine."""
+class LocalDaemon(typing.NamedTuple):
+    """A daemon without bound sockets, and its engine."""
 
     daemon: daemon.Daemon
     engine: engine.Engine
 
 
 @pytest.fixture
-def made() -> Made:
-    """A daemon that is not started."""
+def local() -> LocalDaemon:
+    """A daemon that is not started, so that no socket is bound."""
     settings = setting.read(SETTINGS)
     rng = random.Random(1)
-    runs = compose.entry_engine(settings, rng)
+    vm_engine = compose.entry_engine(settings, rng)
     clock = task.Clock()
     platform = emulated_platform.EmulatedStore(clock)
-    return Made(daemon.Daemon(clock, settings, runs, platform, None, rng), runs)
+    return LocalDaemon(
+        daemon.Daemon(clock, settings, vm_engine, platform, None, rng), vm_engine
+    )
 
 
-def test_strange_address_is_refused_each_time(made: Made) -> None:
-    # Someone outside the fleet sends to the peer port again and again. Were a
-    # first refusal forgotten or a first trust handed on, a forged message would
-    # change where flows go.
+def test_untrusted_address_is_refused_each_time(local: LocalDaemon) -> None:
+    """Guards against a forged message that changes where flows are routed.
+
+    A process outside the fleet sends to the peer port repeatedly. The cached
+    decision must refuse it each time, and must not be used for other addresses.
+    """
     source = packet.address("10.9.9.9:6081")
-    counter = message.Counter.PACKETS_UNKNOWN_SENDER
+    unknown_sender = message.Counter.PACKETS_UNKNOWN_SENDER
     invalid = message.Counter.MESSAGES_INVALID
     for _ in range(3):
-        made.daemon._on_peer(source, b"junk")
-    assert made.engine.outbox.counts[counter] == 3
-    assert made.engine.outbox.counts[invalid] == 0
+        local.daemon._on_peer(source, b"junk")
+    assert local.engine.outbox.counts[unknown_sender] == 3
+    assert local.engine.outbox.counts[invalid] == 0
 
 
-def test_known_address_is_heard_each_time(made: Made) -> None:
+def test_trusted_address_is_accepted_each_time(local: LocalDaemon) -> None:
+    """Guards against a VM that drops the datagrams of its peers."""
     source = packet.address("127.3.200.9:6081")
     invalid = message.Counter.MESSAGES_INVALID
     for _ in range(3):
-        made.daemon._on_peer(source, b"junk")
-    assert made.engine.outbox.counts[invalid] == 3
+        local.daemon._on_peer(source, b"junk")
+    assert local.engine.outbox.counts[invalid] == 3
 
 
-def test_memory_of_addresses_is_bounded(
-    made: Made, monkeypatch: pytest.MonkeyPatch
+def test_cache_of_trusted_addresses_is_bounded(
+    local: LocalDaemon, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A sender that changes its address with each datagram would otherwise make
-    # the VM keep all of them.
+    """Guards against a sender that fills the memory by changing its address."""
     monkeypatch.setattr(daemon, "MAX_CACHED_ADDRESSES", 2)
     for number in range(5):
-        made.daemon._on_peer(packet.address(f"10.9.9.{number + 1}:6081"), b"junk")
-    assert len(made.daemon._trusted_ips) == 2
-    counter = message.Counter.PACKETS_UNKNOWN_SENDER
-    assert made.engine.outbox.counts[counter] == 5
+        local.daemon._on_peer(packet.address(f"10.9.9.{number + 1}:6081"), b"junk")
+    assert len(local.daemon._trusted_ips) == 2
+    unknown_sender = message.Counter.PACKETS_UNKNOWN_SENDER
+    assert local.engine.outbox.counts[unknown_sender] == 5
--- a/tests/test_gateway_answers.py
+++ b/tests/test_gateway_answers.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, and what it makes of any answer."""
+"""The client of the platform's store: its calls, and responses of any form."""
 
 import contextlib
 import json
@@ -23,7 +23,7 @@
 from eelgrasswick.emulation import emulated_platform
 from tests import test_link
 
-KINDS = (
+RESPONSE_TYPES = (
     gateway.RangeResponse,
     gateway.TxnResponse,
     gateway.LeaseGrantResponse,
@@ -31,7 +31,7 @@
     gateway.WatchLine,
 )
 reactor = typing.cast(typing.Any, default_reactor)
-plain = strategies.recursive(
+json_values = strategies.recursive(
     strategies.none() | strategies.integers() | strategies.text(max_size=8),
     lambda inner: (
         strategies.lists(inner, max_size=3)
@@ -56,62 +56,71 @@
 )
 
 
-@given(strategies.binary(max_size=80), strategies.sampled_from(KINDS))
-def test_any_bytes_give_an_answer_or_a_typed_error(
+@given(strategies.binary(max_size=80), strategies.sampled_from(RESPONSE_TYPES))
+def test_any_bytes_give_a_response_or_a_typed_error(
     content: bytes, kind: type[typing.Any]
 ) -> None:
-    # Something else answers at the platform's address, such as a proxy's error
-    # page. An untyped error would end the watch of a VM for good.
+    """Guards against an untyped error, which would end a VM's watch permanently.
+
+    Something else may respond at the platform's address, such as a proxy with an
+    error page.
+    """
     with contextlib.suppress(errors.StoreError):
         gateway.decode_response(content, kind)
 
 
-@given(plain, strategies.sampled_from(KINDS))
+@given(json_values, strategies.sampled_from(RESPONSE_TYPES))
 def test_any_json_gives_rows_or_a_typed_error(
     value: object, kind: type[typing.Any]
 ) -> None:
+    """Guards against an untyped error from valid JSON of another schema."""
     with contextlib.suppress(errors.StoreError):
-        answer = gateway.decode_response(json.dumps(value).encode(), kind)
-        if isinstance(answer, gateway.RangeResponse):
-            gateway.decode_rows(answer.kvs)
+        response = gateway.decode_response(json.dumps(value).encode(), kind)
+        if isinstance(response, gateway.RangeResponse):
+            gateway.decode_rows(response.kvs)
 
 
 @given(strategies.lists(strategies.binary(max_size=40), max_size=5))
-def test_any_watch_lines_give_rows_or_a_typed_error(chunks: list[bytes]) -> None:
-    lines = gateway.WatchDecoder(lambda rows: None)
+def test_any_watch_stream_gives_rows_or_a_typed_error(chunks: list[bytes]) -> None:
+    """Guards against an untyped error from the stream of a watch."""
+    decoder = gateway.WatchDecoder(lambda rows: None)
     with contextlib.suppress(errors.StoreError):
         for data in chunks:
-            lines.receive(data)
+            decoder.receive(data)
 
 
-def test_watch_line_may_come_in_pieces() -> None:
-    heard: list[store.Row] = []
-    lines = gateway.WatchDecoder(heard.extend)
+def test_watch_line_split_into_single_bytes_is_decoded() -> None:
+    """Guards against an update that is lost because its line spans several reads."""
+    rows: list[store.Row] = []
+    decoder = gateway.WatchDecoder(rows.extend)
     line = (
         b'{"result":{"events":[{"kv":{"key":"YQ==","value":"Yg==",'
         b'"mod_revision":"7"}}]}}\n'
     )
     for index in range(len(line)):
-        lines.receive(line[index : index + 1])
-    assert heard == [store.Row("a", b"b", 7)]
+        decoder.receive(line[index : index + 1])
+    assert rows == [store.Row("a", b"b", 7)]
 
 
 @given(strategies.binary(max_size=200))
 def test_any_bytes_give_a_document_or_a_typed_error(value: bytes) -> None:
-    # A value that no operator's command wrote stands in the store. Every VM
-    # reads it; a fault that is not typed would stop them all at once.
+    """Guards against an untyped error, which would stop all VMs at once.
+
+    Every VM reads the document in the store, and anything may have written it.
+    """
     with contextlib.suppress(errors.RulesInvalidError):
         config.decode(value)
 
 
 @given(strategies.binary(max_size=200))
 def test_any_bytes_give_a_peer_message_or_a_typed_error(payload: bytes) -> None:
+    """Guards against a datagram whose decoding fails with an untyped error."""
     with contextlib.suppress(errors.MessageInvalidError):
         wire.decode(payload)
 
 
 class Served(typing.NamedTuple):
-    """An emulated store behind HTTP on loopback, and a client of it."""
+    """An emulated store, served over HTTP on loopback, and its client."""
 
     emulated: emulated_platform.EmulatedStore
     client: gateway.Gateway
@@ -120,6 +129,7 @@
 
 @pytest.fixture
 def served() -> typing.Iterator[Served]:
+    """A store on a free port, and a client with a time-out of 2 s."""
     emulated = emulated_platform.EmulatedStore(reactor)
     site = server.Site(emulated_platform.Site(emulated))
     port = reactor.listenTCP(0, site, interface=test_link.HOST)
@@ -127,24 +137,25 @@
     yield Served(emulated, gateway.Gateway(reactor, url, 2000), port)
     stopped: list[object] = []
     defer.maybeDeferred(port.stopListening).addBoth(stopped.append)
-    test_link.spin(lambda: bool(stopped))
+    test_link.run_reactor_until(lambda: bool(stopped))
 
 
 def await_result(
     work: typing.Coroutine[typing.Any, typing.Any, typing.Any],
 ) -> typing.Any:
-    """Run a coroutine on the reactor and return or raise what it ends with."""
+    """Run a coroutine on the reactor; return its result or raise its error."""
     ended: list[typing.Any] = []
     failed: list[typing.Any] = []
     done = defer.Deferred.fromCoroutine(work)
     done.addCallbacks(ended.append, failed.append)
-    test_link.spin(lambda: bool(ended or failed))
+    test_link.run_reactor_until(lambda: bool(ended or failed))
     if failed:
         failed[0].raiseException()
     return ended[0]
 
 
-def test_calls_over_http_keep_the_contract(served: Served) -> None:
+def test_calls_over_http_have_the_semantics_of_the_store(served: Served) -> None:
+    """Guards against a client that breaks the contract of ``store.Store``."""
     client = served.client
     put = store.Put("k/a", b"\x00\xff")
     committed = await_result(client.commit((store.Compare("k/a", 0),), (put,)))
@@ -159,29 +170,33 @@
     assert not await_result(client.keep_alive(lease + 1))
 
 
-def test_outage_is_a_typed_error(served: Served) -> None:
+def test_call_during_outage_raises_store_error(served: Served) -> None:
+    """Guards against an untyped error from an HTTP status."""
     served.emulated.set_faults(emulated_platform.Faults(outage=True))
     with pytest.raises(errors.StoreError):
         await_result(served.client.read("k"))
 
 
 def test_cancelled_watch_ends_at_the_platform(served: Served) -> None:
-    # A VM lays its watch down because two others of its zone hold one. Were the
-    # connection left open, the platform would count one more waiting call for
-    # each time this happens.
+    """Guards against watches that stay open at the platform after cancellation.
+
+    A VM stops its watch when two other VMs of its zone watch. With the connection
+    left open, the platform would count one more waiting call each time.
+    """
     watching = defer.Deferred.fromCoroutine(
         served.client.watch("k", 0, lambda rows: None)
     )
     watching.addErrback(lambda failure: None)
-    test_link.spin(lambda: served.emulated.watching == 1)
+    test_link.run_reactor_until(lambda: served.emulated.watching == 1)
     await_result(served.client.read("k"))
     watching.cancel()
-    test_link.spin(lambda: served.emulated.watching == 0)
+    test_link.run_reactor_until(lambda: served.emulated.watching == 0)
 
 
-def test_body_stops_at_a_line_that_is_wrong() -> None:
-    lines = gateway.WatchDecoder(lambda rows: None)
-    body = _body.BodyReceiver(lines.receive)
+def test_invalid_line_ends_the_body_with_store_error() -> None:
+    """Guards against a watch that goes on after a line it can't decode."""
+    decoder = gateway.WatchDecoder(lambda rows: None)
+    body = _body.BodyReceiver(decoder.receive)
     failed: list[typing.Any] = []
     body.done.addErrback(failed.append)
     body.dataReceived(b"<html>\n")
--- a/tests/test_gateway_watch.py
+++ b/tests/test_gateway_watch.py
@@ -1,4 +1,4 @@
-"""The store over HTTP, carried in memory."""
+"""Watches of the store over HTTP, with requests and responses in memory."""
 
 import typing
 
@@ -14,11 +14,11 @@
 from eelgrasswick.emulation import emulated_platform
 
 
-class Carried:
-    """A gateway, the emulated store it calls, and the bytes between them."""
+class InMemoryGateway:
+    """A gateway, the emulated store it calls, and an in-memory HTTP agent."""
 
     def __init__(self) -> None:
-        """Connect both in memory."""
+        """Connect the gateway and the store in memory."""
         self.clock = task.Clock()
         self.store = emulated_platform.EmulatedStore(self.clock)
         site = emulated_platform.Site(self.store)
@@ -32,7 +32,7 @@
         self.ended: list[typing.Any] = []
 
     def watch(self) -> defer.Deferred[None]:
-        """Begin to watch the rules."""
+        """Start to watch the rules."""
         watching = defer.Deferred.fromCoroutine(
             self.gateway.watch(store.RULES_KEY, 0, self.rows.extend)
         )
@@ -41,44 +41,49 @@
         return watching
 
     def put(self, value: bytes) -> None:
-        """Write a value into the store."""
+        """Write the rules and deliver the updates."""
         self.store.write((), (store.Put(store.RULES_KEY, value),))
         self.flush()
 
     def flush(self) -> None:
-        """Carry bytes until none are left."""
+        """Deliver the bytes in transit, in several rounds."""
         for _ in range(10):
             self.agent.flush()
             self.clock.advance(0.001)
 
 
 @pytest.fixture
-def carried() -> Carried:
+def local() -> InMemoryGateway:
     """A gateway and a store in memory."""
-    return Carried()
+    return InMemoryGateway()
 
 
-def test_watch_passes_changes_on(carried: Carried) -> None:
-    carried.watch()
-    carried.put(b"one")
-    carried.put(b"two")
-    assert [row.value for row in carried.rows] == [b"one", b"two"]
+def test_watch_reports_each_write_in_order(local: InMemoryGateway) -> None:
+    """Guards against changes that do not reach the listener."""
+    local.watch()
+    local.put(b"one")
+    local.put(b"two")
+    assert [row.value for row in local.rows] == [b"one", b"two"]
 
 
-def test_watch_that_is_laid_down_leaves_no_connection(carried: Carried) -> None:
-    # A VM gives its watch to another one. A connection that stayed open would
-    # go on to count as a call at the platform, one more with each change.
-    watching = carried.watch()
-    assert carried.store.watching == 1
-    watching.cancel()
-    carried.flush()
-    assert carried.store.watching == 0
-    carried.put(b"late")
-    assert carried.rows == []
-
+def test_cancelled_watch_closes_its_connection(local: InMemoryGateway) -> None:
+    """Guards against connections of stopped watches that the platform still counts.
 
-def test_outage_ends_the_watch(carried: Carried) -> None:
-    carried.watch()
-    carried.store.set_faults(emulated_platform.Faults(outage=True))
-    carried.flush()
-    assert carried.ended[0].check(errors.StoreError)
+    A VM stops its watch when another VM takes over. If the connection stayed open,
+    each such change would add one open call at the platform.
+    """
+    watching = local.watch()
+    assert local.store.watching == 1
+    watching.cancel()
+    local.flush()
+    assert local.store.watching == 0
+    local.put(b"late")
+    assert local.rows == []
+
+
+def test_outage_ends_the_watch_with_store_error(local: InMemoryGateway) -> None:
+    """Guards against a watch that hangs during an outage."""
+    local.watch()
+    local.store.set_faults(emulated_platform.Faults(outage=True))
+    local.flush()
+    assert local.ended[0].check(errors.StoreError)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback: start, stop, garbage and outages."""
+"""VM processes on loopback: start, stop, invalid packets and outages."""
 
 import json
 import pathlib
@@ -12,18 +12,21 @@
 from tests import fleet
 
 LIMIT_S = 30
-STOP_BOUND_S = 10
+STOP_LIMIT_S = 10
 
 
-def until(done: typing.Callable[[], bool], what: str, limit_s: float = LIMIT_S) -> None:
-    """Poll until something holds; fail after a generous limit."""
+def until(
+    condition: typing.Callable[[], bool], description: str, limit_s: float = LIMIT_S
+) -> None:
+    """Poll until a condition holds; fail after a limit with its description."""
     end_s = time.monotonic() + limit_s
-    while not done():
-        assert time.monotonic() < end_s, f"not reached: {what}"
+    while not condition():
+        assert time.monotonic() < end_s, f"condition does not hold: {description}"
         time.sleep(0.05)
 
 
 def in_force(run: fleet.Fleet, name: str, sequence: int) -> bool:
+    """Return whether a VM has logged a sequence as in force."""
     return any(
         fleet.field(line, "sequence") == str(sequence)
         for line in run.lines(name, "config_in_force")
@@ -37,6 +40,7 @@
 
 
 def alive(run: fleet.Fleet, name: str) -> bool:
+    """Return whether a VM has logged itself as alive."""
     return any(
         fleet.field(line, "member") == name and fleet.field(line, "state") == "alive"
         for line in run.lines(name, "member_changed")
@@ -44,12 +48,13 @@
 
 
 def await_serving(run: fleet.Fleet, name: str) -> None:
-    """Wait until a VM has the first configuration and serves as a home."""
+    """Wait until a VM has sequence 1 in force and is alive."""
     until(lambda: in_force(run, name, 1), f"configuration of {name}")
     until(lambda: alive(run, name), f"{name} alive")
 
 
-def knows_left(run: fleet.Fleet, name: str, gone: str) -> bool:
+def has_logged_leave(run: fleet.Fleet, name: str, gone: str) -> bool:
+    """Return whether a VM has logged that another one left."""
     return any(
         fleet.field(line, "member") == gone and fleet.field(line, "state") == "left"
         for line in run.lines(name, "member_changed")
@@ -57,6 +62,7 @@
 
 
 def apply(run: fleet.Fleet) -> str:
+    """Submit the rules file and return the output."""
     done = run.command("apply", str(run.rules), "--platform", run.url)
     assert done.returncode == 0, done.stderr
     return done.stdout
@@ -64,7 +70,7 @@
 
 @pytest.fixture(scope="module")
 def block() -> typing.Iterator[int]:
-    """A block of addresses that this run has for itself."""
+    """A block of loopback addresses that is reserved for these tests."""
     with fleet.reserved_block() as block:
         yield block
 
@@ -73,36 +79,38 @@
 def run(
     block: int, tmp_path_factory: pytest.TempPathFactory
 ) -> typing.Iterator[fleet.Fleet]:
-    """Three VMs that have the first configuration in force."""
-    made = fleet.Fleet(tmp_path_factory.mktemp("fleet"), 4, block)
+    """Three VMs that have sequence 1 in force; a fourth one is not started."""
+    created = fleet.Fleet(tmp_path_factory.mktemp("fleet"), 4, block)
     try:
-        made.start("platform", "standin", "platform", made.platform)
-        made.await_platform()
-        common = ("--platform", made.url)
-        made.start(
+        created.start("platform", "standin", "platform", created.platform)
+        created.await_platform()
+        common = ("--platform", created.url)
+        created.start(
             "fabric",
             "standin",
             "fabric",
-            made.fabric_inside,
-            made.fabric_outside,
+            created.fabric_inside,
+            created.fabric_outside,
             *common,
         )
-        report = str(made.folder / "targets.json")
-        made.start("targets", "standin", "targets", str(made.rules), report, *common)
-        for node in made.nodes[:3]:
-            made.start_vm(node)
-        assert "outcome=accepted" in apply(made)
-        for node in made.nodes[:3]:
-            await_serving(made, node.name)
-        yield made
+        report = str(created.folder / "targets.json")
+        created.start(
+            "targets", "standin", "targets", str(created.rules), report, *common
+        )
+        for node in created.nodes[:3]:
+            created.start_vm(node)
+        assert "outcome=accepted" in apply(created)
+        for node in created.nodes[:3]:
+            await_serving(created, node.name)
+        yield created
     finally:
-        made.end()
+        created.end()
 
 
-def calls(run: fleet.Fleet, name: str) -> list[typing.Any]:
-    """Call for a while and return the histories."""
+def run_callers(run: fleet.Fleet, name: str) -> list[typing.Any]:
+    """Run callers for 2 s and return the history of each flow."""
     report = run.folder / f"{name}.json"
-    calling = run.start(
+    callers = run.start(
         name,
         "standin",
         "callers",
@@ -112,17 +120,20 @@
         *("--rate-per-s", "20", "--duration-s", "2", "--grace-s", "15"),
         *("--long-parts", "10"),
     )
-    calling.wait(LIMIT_S)
+    callers.wait(LIMIT_S)
     return typing.cast(list[typing.Any], json.loads(report.read_text()))
 
 
-def test_calls_are_whole(run: fleet.Fleet) -> None:
+def test_all_flows_complete(run: fleet.Fleet) -> None:
+    """Guards against flows that the fleet breaks or leaves unanswered."""
     until(lambda: in_force(run, "vm1", 1), "configuration")
-    ends = {item[6] for item in calls(run, "callers")}
-    assert ends == {"whole"}
+    outcomes = {item[6] for item in run_callers(run, "callers")}
+    assert outcomes == {"whole"}
 
 
-def test_show_and_audit_tell_what_is_in_force(run: fleet.Fleet) -> None:
+def test_show_and_audit_print_what_is_in_force(run: fleet.Fleet) -> None:
+    """Guards against an operator who can't see where a change is in force."""
+
     def shown() -> dict[str, int]:
         done = run.command("show", "--platform", run.url, "--json")
         assert done.returncode == 0, done.stderr
@@ -139,6 +150,7 @@
 
 
 def test_show_explains_a_flow_and_a_target(run: fleet.Fleet) -> None:
+    """Guards against missing explanations, and responses to untrusted addresses."""
     source = ("--from", f"127.{run.block}.1.90")
     flow = ("show", "--flow", "tcp/10.9.0.1:4000>10.1.0.1:443", "--json")
     by_list = run.command(*flow, *source, "--platform", run.url)
@@ -156,6 +168,7 @@
 
 
 def test_dry_run_and_stale_base_change_nothing(run: fleet.Fleet) -> None:
+    """Guards against a submission that the operator did not intend."""
     text = run.rules.read_text()
     run.rules.write_text(text + "drain d1  # asked by Otieno\n")
     common = ("apply", str(run.rules), "--platform", run.url)
@@ -170,22 +183,29 @@
     assert "outcome=unchanged sequence=1" in apply(run)
 
 
-def test_hangup_is_refused_with_a_line(run: fleet.Fleet) -> None:
-    # An operator edits a settings file and sends SIGHUP, as other daemons want
-    # it. Ignored in silence, the operator would take the change for done.
+def test_sighup_is_refused_with_a_log_line(run: fleet.Fleet) -> None:
+    """Guards against an operator who assumes that SIGHUP reloaded the settings."""
     run.stop("vm2", signal.SIGHUP)
     until(lambda: bool(run.lines("vm2", "reload_refused")), "refusal")
     assert run.running["vm2"].poll() is None
 
 
-def test_garbage_at_every_port_is_counted_and_survived(run: fleet.Fleet) -> None:
-    # Corrupt datagrams and outsiders' connections reach a VM. Were it to end,
-    # the flows that it is the home of would stand still.
+def test_invalid_input_at_every_port_is_counted_and_survived(run: fleet.Fleet) -> None:
+    """Guards against corrupt input that ends a VM and stalls the flows of its homes.
+
+    Corrupt datagrams, and connections from outsiders, reach each port of the VM.
+    """
     node = run.nodes[0]
-    garbage = [b"", b"\x45", b"\xff" * 200, b"\x60" + b"\0" * 60, b"\x45" + b"\0" * 19]
+    invalid_packets = [
+        b"",
+        b"\x45",
+        b"\xff" * 200,
+        b"\x60" + b"\0" * 60,
+        b"\x45" + b"\0" * 19,
+    ]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         sender.bind((f"127.{run.block}.1.99", 0))
-        for payload in garbage:
+        for payload in invalid_packets:
             sender.sendto(payload, (node.ip, 6080))
             sender.sendto(payload, (node.ip, 6081))
     for host in (f"127.{run.block}.1.99", f"127.{run.block}.7.1"):
@@ -210,8 +230,10 @@
 def test_vm_started_in_an_outage_gets_its_configuration_from_peers(
     run: fleet.Fleet,
 ) -> None:
-    # The platform is down when a VM is replaced. Without the peers it would
-    # have no rules, and the fabric's packets for it would go nowhere.
+    """Guards against a replaced VM that has no rules and drops its packets.
+
+    The platform is down when the VM starts.
+    """
     run.switch({"outage": True})
     try:
         node = run.nodes[3]
@@ -225,24 +247,27 @@
         run.switch({"outage": False})
 
 
-def test_terminated_vm_leaves_and_ends_by_itself(run: fleet.Fleet) -> None:
-    # A VM is replaced as planned. It must give up its homes and end, or its
-    # supervisor kills it and its flows are taken for lost.
+def test_terminated_vm_leaves_the_fleet_and_exits(run: fleet.Fleet) -> None:
+    """Guards against a planned replacement that loses flows.
+
+    A VM that does not hand over its homes and exit is killed by its supervisor.
+    """
     until(lambda: alive(run, "vm1"), "vm1")
     process = run.running["vm3"]
     run.list_vm(run.nodes[2], "leaving")
     run.stop("vm3")
-    assert process.wait(STOP_BOUND_S) == 0
+    assert process.wait(STOP_LIMIT_S) == 0
     assert run.lines("vm3", "vm_stopped")
-    until(lambda: knows_left(run, "vm1", "vm3"), "vm1 knows that vm3 left")
-    until(lambda: knows_left(run, "vm2", "vm3"), "vm2 knows that vm3 left")
+    until(lambda: has_logged_leave(run, "vm1", "vm3"), "vm1 logged that vm3 left")
+    until(lambda: has_logged_leave(run, "vm2", "vm3"), "vm2 logged that vm3 left")
     run.list_vm(run.nodes[2], "gone")
-    assert {item[6] for item in calls(run, "callers2")} == {"whole"}
+    assert {item[6] for item in run_callers(run, "callers2")} == {"whole"}
 
 
 def test_second_vm_on_the_same_address_is_refused(
     run: fleet.Fleet, tmp_path: pathlib.Path
 ) -> None:
+    """Guards against two processes that share the ports of one VM."""
     settings = tmp_path / "vm1.ini"
     settings.write_text(run.settings(run.nodes[0]))
     done = run.command("entry", str(settings))
--- a/tests/test_process_tls.py
+++ b/tests/test_process_tls.py
@@ -1,4 +1,4 @@
-"""Entry VMs as processes whose links use mutual TLS."""
+"""VM processes whose links use mutual TLS."""
 
 import pathlib
 import typing
@@ -8,11 +8,11 @@
 
 from tests import fleet, test_process
 
-COUNT = 4
+VM_COUNT = 4
 
 
 def certify(run: fleet.Fleet, name: str, authority: trustme.CA) -> None:
-    """Give a VM a certificate and name it in its settings."""
+    """Issue a certificate for a VM and add it to the VM's settings."""
     issued = authority.issue_cert(name)
     paths = {part: run.folder / f"{name}.{part}.pem" for part in ("own", "key", "ca")}
     issued.cert_chain_pems[0].write_to_path(paths["own"])
@@ -26,24 +26,24 @@
 
 @pytest.fixture
 def run(tmp_path: pathlib.Path) -> typing.Iterator[fleet.Fleet]:
-    """Two VMs with certificates that have the first configuration in force."""
+    """Two VMs with certificates that have sequence 1 in force."""
     authority = trustme.CA()
     with fleet.reserved_block() as block:
-        made = fleet.Fleet(tmp_path, COUNT, block)
+        created = fleet.Fleet(tmp_path, VM_COUNT, block)
         try:
             for name in ("vm1", "vm2", "vm3"):
-                certify(made, name, authority)
-            certify(made, "vm4", trustme.CA())
-            made.start("platform", "standin", "platform", made.platform)
-            made.await_platform()
-            made.start_vm(made.nodes[0])
-            made.start_vm(made.nodes[1])
-            made.command("apply", str(made.rules), "--platform", made.url)
-            test_process.await_serving(made, "vm1")
-            test_process.await_serving(made, "vm2")
-            yield made
+                certify(created, name, authority)
+            certify(created, "vm4", trustme.CA())
+            created.start("platform", "standin", "platform", created.platform)
+            created.await_platform()
+            created.start_vm(created.nodes[0])
+            created.start_vm(created.nodes[1])
+            created.command("apply", str(created.rules), "--platform", created.url)
+            test_process.await_serving(created, "vm1")
+            test_process.await_serving(created, "vm2")
+            yield created
         finally:
-            made.end()
+            created.end()
 
 
 def start_unlisted(run: fleet.Fleet, index: int) -> None:
@@ -54,12 +54,14 @@
     run.start(node.name, "entry", str(settings))
 
 
-def test_configuration_travels_over_tls_to_known_certificates_only(
+def test_configuration_is_sent_only_to_vms_with_valid_certificates(
     run: fleet.Fleet,
 ) -> None:
-    # The platform is down while VMs are replaced, so that configurations come
-    # over links alone. One VM has a certificate of another authority; taken in,
-    # anyone who can sign for himself could speak as a VM.
+    """Guards against certificates of another authority that are accepted for a VM.
+
+    The platform is down while VMs are replaced, so configurations arrive over links
+    only. The certificate of one VM is from another authority.
+    """
     run.switch({"outage": True})
     start_unlisted(run, 2)
     start_unlisted(run, 3)
@@ -67,13 +69,13 @@
         lambda: test_process.in_force(run, "vm3", 1), "configuration over TLS"
     )
     test_process.until(lambda: test_process.alive(run, "vm3"), "vm3 alive")
-    refused = ("vm1", "vm2")
+    accepting = ("vm1", "vm2")
     test_process.until(
         lambda: any(
             test_process.counted(run, name, "packets_unknown_sender")
-            for name in refused
+            for name in accepting
         ),
         "refused link",
     )
     assert not test_process.in_force(run, "vm4", 1)
-    assert any(run.lines(name, "link_refused") for name in refused)
+    assert any(run.lines(name, "link_refused") for name in accepting)
--- a/tests/test_watcher.py
+++ b/tests/test_watcher.py
@@ -1,4 +1,4 @@
-"""A VM's conversation with the store, when the store is slow, mute or wrong."""
+"""A VM's watcher, when the store is slow, restored, or stops reporting."""
 
 import random
 import typing
@@ -16,11 +16,11 @@
 from eelgrasswick.emulation import emulated_platform
 
 
-class Watched:
-    """A store, an operator and one VM's watcher, in virtual time."""
+class WatchedStore:
+    """A store and one VM's watcher, in virtual time."""
 
     def __init__(self, text: str) -> None:
-        """Accept rules, then begin to watch."""
+        """Write sequence 1 to the store, then start to watch."""
         self.clock = task.Clock()
         self.store = emulated_platform.EmulatedStore(self.clock)
         self.events: list[message.Event] = []
@@ -32,50 +32,58 @@
         self.run(100)
 
     def document(self, sequence: int, text: str, author: str = "a") -> bytes:
-        """Return the bytes of a document."""
-        plain = config.Document(
+        """Return an encoded document with the rules."""
+        document = config.Document(
             sequence, f"{author}{sequence}", author, 1, text, "", ()
         )
-        return config.encode(plain)
+        return config.encode(document)
 
     def put(self, value: bytes) -> None:
-        """Write the rules without a condition."""
+        """Write the rules unconditionally."""
         self.store.write((), (store.Put(store.RULES_KEY, value),))
 
-    def held(self) -> config.Document:
-        """Return the document in the store."""
+    def stored_document(self) -> config.Document:
+        """Return the rules document in the store."""
         return config.decode(self.store.rows(store.RULES_KEY)[0].value)
 
     def run(self, ms: int) -> None:
-        """Let time pass."""
+        """Advance the clock in steps of 10 ms."""
         for _ in range(ms // 10):
             self.clock.advance(0.01)
 
     def values(self) -> list[bytes | None]:
-        """Return the values that the watcher has passed on."""
+        """Return the values that the watcher has passed to the engine."""
         return [e.value for e in self.events if isinstance(e, message.StoreRead)]
 
 
 @pytest.fixture
-def watched(rules_text: str) -> Watched:
+def watched(rules_text: str) -> WatchedStore:
     """A watcher that has read sequence 1."""
-    return Watched(rules_text)
+    return WatchedStore(rules_text)
 
 
-def test_change_behind_a_mute_watch_is_found(watched: Watched, rules_text: str) -> None:
-    # A middlebox drops an idle connection without a word. The watch waits for
-    # ever; an accepted change would come into force with the next restart.
+def test_change_during_a_silent_watch_is_found(
+    watched: WatchedStore, rules_text: str
+) -> None:
+    """Guards against a change that comes into force only after a restart.
+
+    A middlebox drops an idle connection without a reset, so the watch reports
+    nothing and does not end.
+    """
     watched.store.mute_watches()
     watched.put(watched.document(2, rules_text))
     watched.run(2900)
     assert watched.values()[-1] == watched.document(2, rules_text)
 
 
-def test_store_that_went_back_without_a_word_is_found(
-    watched: Watched, rules_text: str
+def test_store_restored_during_a_silent_watch_is_found(
+    watched: WatchedStore, rules_text: str
 ) -> None:
-    # The store is restored from a copy behind the same address, with lower
-    # revisions. A watch from a later revision shows nothing of that.
+    """Guards against a VM that misses a restore of the store.
+
+    The store is restored from a backup at the same address, with lower revisions.
+    A watch that starts after a higher revision reports nothing.
+    """
     watched.store.mute_watches()
     watched.put(watched.document(7, rules_text))
     watched.store.revision = 0
@@ -84,9 +92,11 @@
     assert watched.values()[-1] == watched.document(5, rules_text)
 
 
-def test_slow_store_is_still_watched(watched: Watched, rules_text: str) -> None:
-    # Each answer takes three seconds. Given up sooner, the watch would never
-    # come about, and changes would wait for the next full read.
+def test_slow_store_is_still_watched(watched: WatchedStore, rules_text: str) -> None:
+    """Guards against watches that are cancelled before they have started.
+
+    Each response takes 3 s. Changes would have to wait for the next full read.
+    """
     watched.store.set_faults(emulated_platform.Faults(delay_ms=3000))
     watched.run(30_000)
     watched.put(watched.document(2, rules_text))
@@ -94,10 +104,11 @@
     assert watched.values()[-1] == watched.document(2, rules_text)
 
 
-def test_watch_that_ends_at_once_does_not_flood_the_store(watched: Watched) -> None:
-    # The platform accepts a watch and closes it again, over and over. Called
-    # again at once each time, it would get hundreds of calls a second.
-    watched.store.watch = _ending  # type: ignore[method-assign]
+def test_watches_that_end_at_once_are_retried_with_backoff(
+    watched: WatchedStore,
+) -> None:
+    """Guards against hundreds of calls a second when each watch closes at once."""
+    watched.store.watch = _close_at_once  # type: ignore[method-assign]
     watched.watcher.set_active(False)
     watched.watcher.set_active(True)
     watched.run(5000)
@@ -106,37 +117,47 @@
     assert 5 < watched.store.calls["read"] < 20
 
 
-async def _ending(prefix: str, after: int, listener: store.Listener) -> None:
+async def _close_at_once(prefix: str, after: int, listener: store.Listener) -> None:
     return None
 
 
-def test_repair_puts_the_newer_document_back(watched: Watched, rules_text: str) -> None:
-    # The store was restored to sequence 1 while the fleet has 2 in force. The
-    # trail was restored with it, and would not show sequence 2 any more.
+def test_repair_writes_the_newer_document_and_its_audit_entry(
+    watched: WatchedStore, rules_text: str
+) -> None:
+    """Guards against a lost change, and a missing audit entry, after a restore.
+
+    The store was restored to sequence 1 while the fleet has sequence 2 in force.
+    The audit trail was restored with it and lacks sequence 2.
+    """
     value = watched.document(2, rules_text)
     watched.watcher.repair(message.RepairStore(value, 2))
     watched.run(100)
-    assert watched.held().sequence == 2
+    assert watched.stored_document().sequence == 2
     operator = change.Operator(watched.store, "x")
-    trail: list[typing.Any] = []
-    _run(operator.audit(), trail)
-    assert [(item.sequence, item.outcome) for item in trail[0]] == [(2, "repaired")]
+    audits: list[typing.Any] = []
+    _run(operator.audit(), audits)
+    assert [(item.sequence, item.outcome) for item in audits[0]] == [(2, "repaired")]
+
 
+def test_repair_yields_to_an_operator(watched: WatchedStore, rules_text: str) -> None:
+    """Guards against a repair that overwrites a newer change of an operator.
 
-def test_repair_yields_to_an_operator(watched: Watched, rules_text: str) -> None:
-    # An operator's change is accepted between the repair's read and its write.
+    The change is accepted between the repair's read and its write.
+    """
     watched.store.set_faults(emulated_platform.Faults(delay_ms=50))
     value = watched.document(2, rules_text)
     watched.watcher.repair(message.RepairStore(value, 2))
     watched.run(70)
     watched.put(watched.document(2, rules_text, "operator"))
     watched.run(500)
-    assert watched.held().author == "operator"
+    assert watched.stored_document().author == "operator"
 
 
-def test_lapsed_lease_is_replaced(watched: Watched) -> None:
-    # A VM is paused for longer than its lease. It wakes, believes in the lease
-    # and reports; the report must stand in the store all the same.
+def test_expired_lease_is_replaced(watched: WatchedStore) -> None:
+    """Guards against reports that are missing after a VM was paused.
+
+    The VM is paused for longer than its lease, and reports with the expired lease.
+    """
     report = message.ReportInForce((message.InForce("vm1", 1),))
     watched.watcher.report(report)
     watched.run(100)
@@ -147,7 +168,10 @@
     assert len(watched.store.rows(store.IN_FORCE_PREFIX)) == 1
 
 
-def test_outage_is_reported_and_survived(watched: Watched, rules_text: str) -> None:
+def test_change_after_an_outage_is_found(
+    watched: WatchedStore, rules_text: str
+) -> None:
+    """Guards against a watcher that stops, or hides the outage from the engine."""
     watched.store.set_faults(emulated_platform.Faults(outage=True))
     watched.run(20_000)
     failures = [e for e in watched.events if isinstance(e, message.StoreFailed)]
