--- a/eelgrasswick/commands/command_operator.py
+++ b/eelgrasswick/commands/command_operator.py
@@ -36,7 +36,7 @@
     as_json: console.Json = False
 
     def __call__(self) -> None:
-        """Print the faults; exit with the code for invalid rules if there are any."""
+        """Print the faults; exit with 1 if there are any."""
         faults = rule.parse(console.read_text(self.file)).faults
         if self.as_json:
             print(json.dumps([item._asdict() for item in faults]))
--- a/eelgrasswick/daemons/daemon.py
+++ b/eelgrasswick/daemons/daemon.py
@@ -30,7 +30,7 @@
 
 IDLE_CHECK_INTERVAL_S: typing.Final = 10.0
 MAX_TRACE_FRAMES: typing.Final = 4
-# Anyone can send from many source addresses, so the caches of addresses are bounded.
+# Datagrams can have any source address, so the caches by source are bounded.
 MAX_CACHED_ADDRESSES: typing.Final = 100_000
 
 
--- a/eelgrasswick/daemons/metric.py
+++ b/eelgrasswick/daemons/metric.py
@@ -47,7 +47,7 @@
             meter.create_observable_counter(
                 PREFIX + counter.value, [self._observe_counter(counter)]
             )
-        meter.create_observable_gauge(PREFIX + "flows_open", [self._observe_open])
+        meter.create_observable_gauge(PREFIX + "flows_open", [self._observe_open_flows])
         meter.create_observable_gauge(PREFIX + "hints", [self._observe_hints])
 
     def collect(self) -> list[MetricValue]:
@@ -72,7 +72,9 @@
 
         return observe
 
-    def _observe_open(self, options: api.CallbackOptions) -> list[api.Observation]:
+    def _observe_open_flows(
+        self, options: api.CallbackOptions
+    ) -> list[api.Observation]:
         counts = self._engine.tables.flows.open_by_service
         return [api.Observation(sum(counts.values()))]
 
