--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -155,9 +155,9 @@
     flow = ("show", "--flow", "tcp/10.9.0.1:4000>10.1.0.1:443", "--json")
     by_list = run.command(*flow, *source, "--platform", run.url)
     assert by_list.returncode == 0, by_list.stderr
-    answers = json.loads(by_list.stdout)
-    assert {item["default_target"] for item in answers} != {"none"}
-    assert any(item["home"] == item["vm"] for item in answers)
+    explanations = json.loads(by_list.stdout)
+    assert {item["default_target"] for item in explanations} != {"none"}
+    assert any(item["home"] == item["vm"] for item in explanations)
     target = ("show", "--target", "d1", "--vm", f"{run.nodes[0].ip}:6081")
     by_vm = run.command(*target, *source)
     assert "takes new flows by its weight" in by_vm.stdout
