--- a/eelgrasswick/daemons/metric.py
+++ b/eelgrasswick/daemons/metric.py
@@ -1,4 +1,4 @@
-"""Metrics of an entry VM through OpenTelemetry."""
+"""Metrics of an entry VM, exported through OpenTelemetry."""
 
 import typing
 
@@ -12,25 +12,30 @@
 PREFIX: typing.Final = "eelgrasswick."
 
 
-class Reading(typing.NamedTuple):
-    """One metric's value."""
+class MetricValue(typing.NamedTuple):
+    """The present value of one metric.
+
+    Attributes:
+        name: Name of the metric, with ``PREFIX``.
+        value: Its value.
+    """
 
     name: str
     value: int | float
 
 
 class Meter:
-    """Observes an engine's counts, and hands them out when collected."""
+    """Exports an engine's counters and gauges as metrics."""
 
     def __init__(
         self,
         observed: engine.Engine,
         readers: typing.Sequence[export.MetricReader] = (),
     ) -> None:
-        """Register one instrument for each count of an engine.
+        """Register an instrument for each counter and gauge of an engine.
 
         Args:
-            observed: The engine.
+            observed: Engine whose counters and gauges are exported.
             readers: Further readers, for example one that exports by OTLP.
         """
         self._engine = observed
@@ -42,22 +47,22 @@
             meter.create_observable_counter(
                 PREFIX + counter.value, [self._observe_counter(counter)]
             )
-        meter.create_observable_gauge(PREFIX + "flows_open", [self._observe_open])
+        meter.create_observable_gauge(PREFIX + "flows_open", [self._observe_open_flows])
         meter.create_observable_gauge(PREFIX + "hints", [self._observe_hints])
 
-    def collect(self) -> list[Reading]:
-        """Return the present values, by name."""
+    def collect(self) -> list[MetricValue]:
+        """Return the present value of each metric."""
         data = self._reader.get_metrics_data()
         if data is None:
             return []
-        readings = []
+        values = []
         for resource in data.resource_metrics:
             for scope in resource.scope_metrics:
                 for metric in scope.metrics:
                     for point in metric.data.data_points:
                         value = getattr(point, "value", 0)
-                        readings.append(Reading(metric.name, value))
-        return readings
+                        values.append(MetricValue(metric.name, value))
+        return values
 
     def _observe_counter(
         self, counter: message.Counter
@@ -67,7 +72,9 @@
 
         return observe
 
-    def _observe_open(self, options: api.CallbackOptions) -> list[api.Observation]:
+    def _observe_open_flows(
+        self, options: api.CallbackOptions
+    ) -> list[api.Observation]:
         counts = self._engine.tables.flows.open_by_service
         return [api.Observation(sum(counts.values()))]
 
--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -16,13 +16,13 @@
     wire,
 )
 from eelgrasswick.fleet import (
-    contact,
     gossip,
+    join_condition,
     member,
     peer,
     probe,
-    turn,
-    unheard,
+    reconnect,
+    round_robin,
 )
 
 PROBE_PERIOD_MS: typing.Final = 200
@@ -70,11 +70,11 @@
         self.sequences: dict[str, int] = {}
         self.changed = True
         self.sequence = 0
-        self._candidates = unheard.ReconnectCandidates(seeds)
+        self._candidates = reconnect.ReconnectCandidates(seeds)
         self._peers = peers
         self._outbox = outbox
         self._rng = rng
-        self._ping_order = turn.ShuffledRoundRobin(rng)
+        self._ping_order = round_robin.ShuffledRoundRobin(rng)
         self._probes = probe.Probes()
         self._suspicion_ends_ms: dict[str, int] = {}
         self._names_by_address: dict[packet.Address, str] = {}
@@ -82,7 +82,7 @@
         self._next_ping_ms = 0
         self._next_reconnect_ms = 0
         self._last_event_ms: int | None = None
-        self._join_condition = contact.JoinCondition()
+        self._join_condition = join_condition.JoinCondition()
         self._leaving_since_ms: int | None = None
 
     @property
