--- a/eelgrasswick/trials/capacity.py
+++ b/eelgrasswick/trials/capacity.py
@@ -11,8 +11,8 @@
     trial,
 )
 
-DEFAULT_FLEETS: typing.Final = (4, 8, 16, 32, 64)
-DEFAULT_LINES: typing.Final = (1000, 4000, 16_000, 27_100)
+DEFAULT_VM_COUNTS: typing.Final = (4, 8, 16, 32, 64)
+DEFAULT_LINE_COUNTS: typing.Final = (1000, 4000, 16_000, 27_100)
 
 
 @cappa.command(name="capacity", help="work out what the design size would cost")
@@ -22,17 +22,19 @@
 
     fleets: typing.Annotated[
         list[int], cappa.Arg(long="--vms", help="sizes of fleets to measure")
-    ] = dataclasses.field(default_factory=lambda: list(DEFAULT_FLEETS))
+    ] = dataclasses.field(default_factory=lambda: list(DEFAULT_VM_COUNTS))
     lines: typing.Annotated[
         list[int], cappa.Arg(long="--lines", help="sizes of rules to measure")
-    ] = dataclasses.field(default_factory=lambda: list(DEFAULT_LINES))
+    ] = dataclasses.field(default_factory=lambda: list(DEFAULT_LINE_COUNTS))
 
     def __call__(self) -> None:
         """Print what was measured, then one line per cost."""
-        fleets = [_shown(capacity_slope.fleet_point(n)) for n in self.fleets]
-        rules = [_shown(capacity_slope.rules_point(n)) for n in self.lines]
-        units = {item.what: _shown(item).value for item in capacity_slope.units()}
-        for row in capacity_table.table(slopes(fleets, rules, units)):
+        fleets = [_shown(capacity_slope.measure_fleet(n)) for n in self.fleets]
+        rules = [_shown(capacity_slope.measure_rules(n)) for n in self.lines]
+        units = {
+            item.what: _shown(item).value for item in capacity_slope.measure_units()
+        }
+        for row in capacity_table.table(fit_slopes(fleets, rules, units)):
             trial.print_row(row)
 
 
@@ -44,14 +46,14 @@
     return point
 
 
-def slopes(
+def fit_slopes(
     fleets: typing.Sequence[capacity_slope.FleetPoint],
     rules: typing.Sequence[capacity_slope.RulesPoint],
     units: typing.Mapping[str, float],
 ) -> capacity_table.Slopes:
     """Put measured points together into slopes."""
-    base, per_vm = capacity_slope.line([(n.vms, n.cpu_share) for n in fleets])
-    open_us, open_per_vm = capacity_slope.line([(n.vms, n.open_us) for n in fleets])
+    base, per_vm = capacity_slope.fit_line([(n.vms, n.cpu_share) for n in fleets])
+    open_us, open_per_vm = capacity_slope.fit_line([(n.vms, n.open_us) for n in fleets])
     largest = max(fleets)
     return capacity_table.Slopes(
         heartbeat_bytes_per_s=largest.heartbeat_bytes_per_s,
@@ -77,4 +79,4 @@
 
 
 def _per_line(points: typing.Sequence[tuple[float, float]]) -> float:
-    return capacity_slope.line(points)[1]
+    return capacity_slope.fit_line(points)[1]
--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -27,12 +27,12 @@
 from eelgrasswick.trials import packet_path
 
 ZONES: typing.Final = ("z1", "z2", "z3", "z4", "z5")
-READY_MS: typing.Final = 60_000.0
+READY_TIMEOUT_MS: typing.Final = 60_000.0
 SETTLE_MS: typing.Final = 7000.0
-NEWS_MS_PER_VM: typing.Final = 550.0
-SPAN_MS: typing.Final = 5000.0
-SAMPLE: typing.Final = 20_000
-SERVICE_SHARE: typing.Final = 0.3
+DISSEMINATION_MS_PER_VM: typing.Final = 550.0
+MEASURED_MS: typing.Final = 5000.0
+SAMPLE_FLOWS: typing.Final = 20_000
+SERVICE_LINE_SHARE: typing.Final = 0.3
 _ROUNDS: typing.Final = 5
 
 
@@ -83,7 +83,7 @@
     memory_bytes: int
 
 
-class Unit(typing.NamedTuple):
+class UnitCost(typing.NamedTuple):
     """What one more of something costs.
 
     Attributes:
@@ -95,23 +95,23 @@
     value: float
 
 
-def fleet_point(vms: int, seed: int = 1) -> FleetPoint:
+def measure_fleet(vms: int, seed: int = 1) -> FleetPoint:
     """Measure a fleet at rest, with two services of ten targets."""
     fleet = virtual_fleet.VirtualFleet(vms, ZONES, seed)
     text = virtual_fleet.rules_text(2, 10, ZONES)
     fleet.put_rules(virtual_fleet.document(1, text))
-    fleet.run_until(fleet.ready, READY_MS)
+    fleet.run_until(fleet.ready, READY_TIMEOUT_MS)
     ready_ms = fleet.now_ms - virtual_fleet.START_MS
     # After a cold start every VM passes on the news of every other one.
-    fleet.run(SETTLE_MS + vms * NEWS_MS_PER_VM)
+    fleet.run(SETTLE_MS + vms * DISSEMINATION_MS_PER_VM)
     _load_targets(fleet)
     before, sizes_before = fleet.traffic(), _heartbeat_bytes(fleet)
     cpu_before_ns = sum(vm.cpu_ns for vm in fleet.vms)
     calls_before = sum(fleet.platform.calls.values())
-    fleet.run(SPAN_MS)
+    fleet.run(MEASURED_MS)
     after, sizes_after = fleet.traffic(), _heartbeat_bytes(fleet)
     cpu_ns = sum(vm.cpu_ns for vm in fleet.vms) - cpu_before_ns
-    each_s = vms * SPAN_MS / 1000
+    each_s = vms * MEASURED_MS / 1000
     heartbeat_bytes = sizes_after - sizes_before
     all_bytes = after.size_bytes - before.size_bytes
     calls = sum(fleet.platform.calls.values()) - calls_before
@@ -122,7 +122,7 @@
         round((all_bytes - heartbeat_bytes) / each_s),
         round((after.messages - before.messages) / each_s, 1),
         round(cpu_ns / 1e9 / each_s, 4),
-        round(calls / SPAN_MS * 1000, 2),
+        round(calls / MEASURED_MS * 1000, 2),
         fleet.platform.watching,
         round(_open_us(fleet), 1),
     )
@@ -155,9 +155,9 @@
     return sum(vm.sizes[code] for vm in fleet.vms for code in codes)
 
 
-def rules_point(lines: int) -> RulesPoint:
+def measure_rules(lines: int) -> RulesPoint:
     """Measure rules with a number of lines."""
-    services = max(1, round(lines * SERVICE_SHARE))
+    services = max(1, round(lines * SERVICE_LINE_SHARE))
     text = virtual_fleet.rules_text(services, lines - services, ZONES)
     document = virtual_fleet.document(1, text)
     value = config.encode(document)
@@ -209,18 +209,18 @@
     ]
 
 
-def units() -> list[Unit]:
+def measure_units() -> list[UnitCost]:
     """Measure the costs that grow by one flow, target or VM."""
     text = virtual_fleet.rules_text(2, 10, ZONES)
     compiled = config.Config(virtual_fleet.document(1, text))
     chosen = next(iter(compiled.targets.values()))
     return [
-        Unit("record_bytes", _record_bytes(chosen)),
-        Unit("hint_bytes", _hint_bytes(chosen)),
-        Unit("member_bytes", _member_bytes()),
-        Unit("news_bytes", _news_bytes()),
-        Unit("in_force_bytes", _in_force_bytes()),
-        Unit("rehome_us_per_flow", _rehome_us(chosen)),
+        UnitCost("record_bytes", _record_bytes(chosen)),
+        UnitCost("hint_bytes", _hint_bytes(chosen)),
+        UnitCost("member_bytes", _member_bytes()),
+        UnitCost("news_bytes", _news_bytes()),
+        UnitCost("in_force_bytes", _in_force_bytes()),
+        UnitCost("rehome_us_per_flow", _rehome_us(chosen)),
         *_report_units(),
     ]
 
@@ -228,22 +228,22 @@
 def _record_bytes(chosen: target.Target) -> float:
     def build() -> object:
         table = flow.FlowTable()
-        for number in range(SAMPLE):
+        for number in range(SAMPLE_FLOWS):
             key = packet_path.flow(number, chosen.endpoint)
             table.add(key, _record(chosen, 1000))
         return table
 
-    return _memory(build) / SAMPLE
+    return _memory(build) / SAMPLE_FLOWS
 
 
 def _hint_bytes(chosen: target.Target) -> float:
     def build() -> object:
-        table = hint.HintTable(10_000, SAMPLE)
-        for number in range(SAMPLE):
+        table = hint.HintTable(10_000, SAMPLE_FLOWS)
+        for number in range(SAMPLE_FLOWS):
             table.learn(1000, packet_path.flow(number, chosen.endpoint), chosen)
         return table
 
-    return _memory(build) / SAMPLE
+    return _memory(build) / SAMPLE_FLOWS
 
 
 def _member_bytes() -> float:
@@ -277,13 +277,13 @@
     fleet = virtual_fleet.VirtualFleet(2, ZONES[:1], 1)
     text = virtual_fleet.rules_text(2, 10, ZONES[:1])
     fleet.put_rules(virtual_fleet.document(1, text))
-    fleet.run_until(fleet.ready, READY_MS)
+    fleet.run_until(fleet.ready, READY_TIMEOUT_MS)
     runs = fleet.vms[0].engine
     current = runs.tables.epochs.current
     assert current is not None
     owner = current.config.services["s0"]
     now_ms = round(fleet.now_ms)
-    for number in range(SAMPLE):
+    for number in range(SAMPLE_FLOWS):
         key = packet_path.flow(number, owner.address)
         place = current.locate(key, owner)
         if place.home == fleet.vms[0].me.name and place.default is not None:
@@ -296,7 +296,7 @@
     return (time.thread_time_ns() - before_ns) / 1000 / flows
 
 
-def _report_units() -> list[Unit]:
+def _report_units() -> list[UnitCost]:
     count = 1000
     entries = tuple(
         wire.OpenFlows(f"t{n}", 20_000 + n, 20_000 + n) for n in range(count)
@@ -308,9 +308,9 @@
     decode_us = _us(lambda: wire.decode(payload))
     take_us = _us(lambda: book.record(0, "vm1", report))
     return [
-        Unit("report_bytes_per_target", len(payload) / count),
-        Unit("report_encode_us_per_target", encode_us / count),
-        Unit("report_take_us_per_target", (decode_us + take_us) / count),
+        UnitCost("report_bytes_per_target", len(payload) / count),
+        UnitCost("report_encode_us_per_target", encode_us / count),
+        UnitCost("report_take_us_per_target", (decode_us + take_us) / count),
     ]
 
 
@@ -340,7 +340,7 @@
     return sorted(samples)[_ROUNDS // 2]
 
 
-def line(points: typing.Sequence[tuple[float, float]]) -> tuple[float, float]:
+def fit_line(points: typing.Sequence[tuple[float, float]]) -> tuple[float, float]:
     """Return base and slope of the least-squares line through points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
--- a/eelgrasswick/trials/capacity_table.py
+++ b/eelgrasswick/trials/capacity_table.py
@@ -9,12 +9,12 @@
 from eelgrasswick.homes import epoch
 
 DAY_S: typing.Final = 86_400.0
-NEWS_PER_RESTART: typing.Final = 5
-NEWS_PER_FAILURE: typing.Final = 3
+UPDATES_PER_RESTART: typing.Final = 5
+UPDATES_PER_FAILURE: typing.Final = 3
 EPOCHS_PER_RESTART: typing.Final = 2
 EPOCHS_PER_FAILURE: typing.Final = 1
-CALLS_PER_REPORT: typing.Final = 2
-ANSWERS_PER_FLOW_S: typing.Final = 1.0
+STORE_CALLS_PER_REPORT: typing.Final = 2
+ANSWERS_PER_FLOW_PER_S: typing.Final = 1.0
 HINT_TTL_S: typing.Final = 10.0
 _STEPS: typing.Final = 60
 
@@ -59,7 +59,9 @@
         )
 
 
-GOAL: typing.Final = Size(2800, 19_000, 8100, 63_000_000, 130_000, 13_000, 5, 120, 1700)
+DESIGN_SIZE: typing.Final = Size(
+    2800, 19_000, 8100, 63_000_000, 130_000, 13_000, 5, 120, 1700
+)
 
 
 class Slopes(typing.NamedTuple):
@@ -120,12 +122,12 @@
     limit: float
 
 
-CONTROL: typing.Final = Budget("B/s", 17_000)
-CORE: typing.Final = Budget("core", 0.048)
-DATA_CORE: typing.Final = Budget("core", 1.0)
-MEMORY: typing.Final = Budget("MB", 128)
-CALLS: typing.Final = Budget("calls/s", 300)
-VALUE: typing.Final = Budget("B", 1_000_000)
+CONTROL_BUDGET: typing.Final = Budget("B/s", 17_000)
+CPU_BUDGET: typing.Final = Budget("core", 0.048)
+DATA_CPU_BUDGET: typing.Final = Budget("core", 1.0)
+MEMORY_BUDGET: typing.Final = Budget("MB", 128)
+STORE_CALLS_BUDGET: typing.Final = Budget("calls/s", 300)
+STORED_VALUE_BUDGET: typing.Final = Budget("B", 1_000_000)
 
 
 class Cost(typing.NamedTuple):
@@ -167,10 +169,12 @@
     over_from_vms: int
 
 
-def table(slopes: Slopes, size: Size = GOAL) -> list[Row]:
+def table(slopes: Slopes, size: Size = DESIGN_SIZE) -> list[Row]:
     """Return one row for each cost."""
     found = costs(slopes)
-    wholes = [_whole(found, budget) for budget in (CONTROL, CORE, MEMORY)]
+    wholes = [
+        _whole(found, budget) for budget in (CONTROL_BUDGET, CPU_BUDGET, MEMORY_BUDGET)
+    ]
     return [_row(item, size) for item in (*found, *wholes)]
 
 
@@ -193,8 +197,8 @@
 
 def _member_costs(slopes: Slopes) -> list[Cost]:
     def news(size: Size) -> float:
-        events = size.restarts_per_day * NEWS_PER_RESTART
-        events += size.failures_per_day * NEWS_PER_FAILURE
+        events = size.restarts_per_day * UPDATES_PER_RESTART
+        events += size.failures_per_day * UPDATES_PER_FAILURE
         sends = gossip.RETRANSMIT_FACTOR * int(size.vms + 2).bit_length()
         return events / DAY_S * sends * slopes.news_bytes
 
@@ -205,15 +209,15 @@
         Cost(
             "member",
             "heartbeats, one VM each 200 ms",
-            CONTROL,
+            CONTROL_BUDGET,
             lambda size: slopes.heartbeat_bytes_per_s,
         ),
-        Cost("member", "news of a day's churn on heartbeats", CONTROL, news),
-        Cost("member", "ticks, heartbeats and reports of 10 targets", CORE, cpu),
+        Cost("member", "news of a day's churn on heartbeats", CONTROL_BUDGET, news),
+        Cost("member", "ticks, heartbeats and reports of 10 targets", CPU_BUDGET, cpu),
         Cost(
             "member",
             "view of the fleet",
-            MEMORY,
+            MEMORY_BUDGET,
             lambda size: size.vms * slopes.member_bytes / 1e6,
         ),
     ]
@@ -239,27 +243,29 @@
         return size.new_per_s / size.vms * each_us / 1e6
 
     return [
-        Cost("home", "LoadReport to every VM, each second", CONTROL, report_bytes),
-        Cost("home", "LoadReport, made and read", CORE, report_cpu),
+        Cost(
+            "home", "LoadReport to every VM, each second", CONTROL_BUDGET, report_bytes
+        ),
+        Cost("home", "LoadReport, made and read", CPU_BUDGET, report_cpu),
         Cost(
             "home",
             "flow records",
-            MEMORY,
+            MEMORY_BUDGET,
             lambda size: size.flows / size.vms * slopes.record_bytes / 1e6,
         ),
-        Cost("home", "scan of all flows after each change", CORE, rehome_cpu),
-        Cost("home", "opening flows (data, not control)", DATA_CORE, open_cpu),
+        Cost("home", "scan of all flows after each change", CPU_BUDGET, rehome_cpu),
+        Cost("home", "opening flows (data, not control)", DATA_CPU_BUDGET, open_cpu),
         Cost(
             "entry",
             "hints, one answer per flow and second",
-            MEMORY,
+            MEMORY_BUDGET,
             lambda size: _hints(size) * slopes.hint_bytes / 1e6,
         ),
     ]
 
 
 def _hints(size: Size) -> float:
-    answers = ANSWERS_PER_FLOW_S * HINT_TTL_S
+    answers = ANSWERS_PER_FLOW_PER_S * HINT_TTL_S
     each = size.vms * (1 - (1 - 1 / max(2.0, size.vms)) ** answers)
     return size.flows * each / size.vms
 
@@ -286,20 +292,20 @@
         Cost(
             "keeper",
             "whole document to every VM per change",
-            CONTROL,
+            CONTROL_BUDGET,
             lambda size: lines(size) * slopes.document_bytes_per_line * per_s(size),
         ),
         Cost(
             "keeper",
             "whole rules compiled per change",
-            CORE,
+            CPU_BUDGET,
             lambda size: lines(size) * slopes.compile_us_per_line * per_s(size) / 1e6,
         ),
-        Cost("keeper", "candidates of all services per change", CORE, epoch_cpu),
+        Cost("keeper", "candidates of all services per change", CPU_BUDGET, epoch_cpu),
         Cost(
             "keeper",
             f"compiled rules, {epoch.MAX_EARLIER_EPOCHS + 1} configurations kept",
-            MEMORY,
+            MEMORY_BUDGET,
             lambda size: (
                 (
                     lines(size)
@@ -312,7 +318,7 @@
         Cost(
             "watcher",
             "all rules under one key",
-            VALUE,
+            STORED_VALUE_BUDGET,
             lambda size: lines(size) * slopes.document_bytes_per_line,
         ),
     ]
@@ -322,20 +328,20 @@
     def reports(size: Size) -> float:
         regular = size.zones * 1000 / keeper.REPORT_INTERVAL_MS
         changed = size.zones * size.changes_per_day / DAY_S
-        return (regular + changed) * CALLS_PER_REPORT
+        return (regular + changed) * STORE_CALLS_PER_REPORT
 
     return [
         Cost(
             "platform",
             "watches and reads of two VMs per zone",
-            CALLS,
+            STORE_CALLS_BUDGET,
             lambda size: slopes.store_calls_per_zone_s * size.zones,
         ),
-        Cost("platform", "in-force reports, one per zone", CALLS, reports),
+        Cost("platform", "in-force reports, one per zone", STORE_CALLS_BUDGET, reports),
         Cost(
             "platform",
             "in-force report of a zone, one value",
-            VALUE,
+            STORED_VALUE_BUDGET,
             lambda size: size.vms / size.zones * slopes.in_force_bytes,
         ),
     ]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -47,14 +47,14 @@
 
 
 def test_line_through_points() -> None:
-    assert capacity_slope.line([(1, 3), (2, 5), (3, 7)]) == pytest.approx((1, 2))
+    assert capacity_slope.fit_line([(1, 3), (2, 5), (3, 7)]) == pytest.approx((1, 2))
 
 
 def test_measured_slopes_give_a_table() -> None:
-    fleets = [capacity_slope.fleet_point(n) for n in (2, 4)]
-    rules = [capacity_slope.rules_point(n) for n in (20, 40)]
-    units = {item.what: item.value for item in capacity_slope.units()}
-    rows = capacity_table.table(capacity.slopes(fleets, rules, units))
+    fleets = [capacity_slope.measure_fleet(n) for n in (2, 4)]
+    rules = [capacity_slope.measure_rules(n) for n in (20, 40)]
+    units = {item.what: item.value for item in capacity_slope.measure_units()}
+    rows = capacity_table.table(capacity.fit_slopes(fleets, rules, units))
     assert {row.verdict for row in rows} == {"over", "within"}
     # Slopes of time are noisy over so few points, and this is no test of time.
     assert all(row.value > 0 for row in rows if row.unit != "core")
