--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -135,7 +135,7 @@
         current = vm.engine.keeper.current
         assert current is not None
         for number, item in enumerate(current.targets.values()):
-            key = packet_path.flow(index * 64 + number, item.endpoint)
+            key = packet_path.flow_key(index * 64 + number, item.endpoint)
             vm.engine.tables.flows.add(key, _record(item, round(fleet.now_ms)))
 
 
@@ -190,7 +190,7 @@
 
 def _look_up(current: epoch.Epoch) -> None:
     for item in current.config.services.values():
-        current.locate(packet_path.flow(1, item.address), item)
+        current.locate(packet_path.flow_key(1, item.address), item)
 
 
 def _members(count: int) -> list[member.Member]:
@@ -229,7 +229,7 @@
     def build() -> object:
         table = flow.FlowTable()
         for number in range(SAMPLE_FLOWS):
-            key = packet_path.flow(number, chosen.endpoint)
+            key = packet_path.flow_key(number, chosen.endpoint)
             table.add(key, _record(chosen, 1000))
         return table
 
@@ -240,7 +240,7 @@
     def build() -> object:
         table = hint.HintTable(10_000, SAMPLE_FLOWS)
         for number in range(SAMPLE_FLOWS):
-            table.learn(1000, packet_path.flow(number, chosen.endpoint), chosen)
+            table.learn(1000, packet_path.flow_key(number, chosen.endpoint), chosen)
         return table
 
     return _memory(build) / SAMPLE_FLOWS
@@ -284,7 +284,7 @@
     owner = current.config.services["s0"]
     now_ms = round(fleet.now_ms)
     for number in range(SAMPLE_FLOWS):
-        key = packet_path.flow(number, owner.address)
+        key = packet_path.flow_key(number, owner.address)
         place = current.locate(key, owner)
         if place.home == fleet.vms[0].me.name and place.default is not None:
             runs.tables.flows.add(key, _record(place.default, now_ms))
@@ -320,7 +320,9 @@
     vm = fleet.vms[0]
     current = vm.engine.tables.epochs.current
     assert current is not None
-    paths = packet_path.build(current, current.config.services["s0"], vm.me.name, "")
+    paths = packet_path.build_paths(
+        current, current.config.services["s0"], vm.me.name, ""
+    )
     opening = next(item for item in paths if item.name == "open_at_home")
     fabric = packet.address("10.255.0.1:6080")
     events = [message.FabricDatagram(fabric, raw) for raw in opening.packets]
--- a/eelgrasswick/trials/packet_cost.py
+++ b/eelgrasswick/trials/packet_cost.py
@@ -26,9 +26,9 @@
     trial,
 )
 
-READY_MS: typing.Final = 10_000.0
+READY_TIMEOUT_MS: typing.Final = 10_000.0
 SETTLE_MS: typing.Final = 7000.0
-FABRIC: typing.Final = "10.255.0.1:6080"
+FABRIC_ADDRESS: typing.Final = "10.255.0.1:6080"
 _TOP: typing.Final = 12
 
 
@@ -102,7 +102,7 @@
         self._fleet = virtual_fleet.VirtualFleet(2, ("z1",), seed=1)
         text = virtual_fleet.rules_text(2, 10, ("z1",))
         self._fleet.put_rules(virtual_fleet.document(1, text))
-        self._fleet.run_until(self._fleet.ready, READY_MS)
+        self._fleet.run_until(self._fleet.ready, READY_TIMEOUT_MS)
         # While the epochs of the start are fresh, a new flow would be asked
         # for at former homes.
         self._fleet.run(SETTLE_MS)
@@ -114,7 +114,9 @@
         current = self._vm.engine.tables.epochs.current
         assert current is not None
         owner = current.config.services["s0"]
-        return packet_path.build(current, owner, self._vm.me.name, self._other.me.name)
+        return packet_path.build_paths(
+            current, owner, self._vm.me.name, self._other.me.name
+        )
 
     def count(self, counter: message.Counter) -> int:
         """Return a count of the measured engine."""
@@ -147,7 +149,7 @@
 
     def events(self, path: packet_path.Path) -> list[message.Event]:
         """Return the events that hand a path's packets to the engine."""
-        fabric = packet.address(FABRIC)
+        fabric = packet.address(FABRIC_ADDRESS)
         other = peer.address_of(self._other.me)
         match path.sender:
             case packet_path.Sender.FABRIC:
--- a/eelgrasswick/trials/packet_path.py
+++ b/eelgrasswick/trials/packet_path.py
@@ -9,7 +9,7 @@
 )
 from eelgrasswick.homes import epoch
 
-FLOWS: typing.Final = 600
+FLOWS_PER_PATH: typing.Final = 600
 REQUEST_BYTES: typing.Final = 200
 ANSWER_BYTES: typing.Final = 1200
 _SEARCH: typing.Final = 20_000
@@ -38,10 +38,10 @@
     sender: Sender
     packets: list[bytes]
     sources: list[packet.Address]
-    once: bool = False
+    send_once: bool = False
 
 
-def build(
+def build_paths(
     current: epoch.Epoch, owner: service.Service, me: str, other: str
 ) -> list[Path]:
     """Return the paths, in an order in which each finds what it needs.
@@ -56,10 +56,12 @@
     """
     own = _flows(current, owner, me)
     foreign = _flows(current, owner, other)
-    opening = [request(key, packet.Flags.SYN, 0) for key in own]
-    data = [request(key, packet.Flags.ACK, REQUEST_BYTES) for key in own]
-    elsewhere = [request(key, packet.Flags.ACK, REQUEST_BYTES) for key in foreign]
-    answers = [answer(key, ANSWER_BYTES) for key in foreign]
+    opening = [request_packet(key, packet.Flags.SYN, 0) for key in own]
+    data = [request_packet(key, packet.Flags.ACK, REQUEST_BYTES) for key in own]
+    elsewhere = [
+        request_packet(key, packet.Flags.ACK, REQUEST_BYTES) for key in foreign
+    ]
+    answers = [answer_packet(key, ANSWER_BYTES) for key in foreign]
     sources = [_endpoint(current, owner, key) for key in foreign]
     return [
         Path("open_at_home", Sender.FABRIC, opening, [], True),
@@ -71,20 +73,20 @@
     ]
 
 
-def flow(number: int, address: packet.Address) -> packet.FlowKey:
+def flow_key(number: int, address: packet.Address) -> packet.FlowKey:
     """Return the flow with a number to a service's address."""
     caller = packet.Address(bytes((10, 9, number >> 8 & 255, number & 255)), 40000)
     return packet.FlowKey(packet.Protocol.TCP, *caller, *address)
 
 
-def request(key: packet.FlowKey, flags: int, size_bytes: int) -> bytes:
+def request_packet(key: packet.FlowKey, flags: int, size_bytes: int) -> bytes:
     """Return a caller's packet of a flow."""
     caller = packet.Address(key.caller_ip, key.caller_port)
     address = packet.Address(key.service_ip, key.service_port)
     return packet.build_tcp(caller, address, flags, 1, 1, bytes(size_bytes))
 
 
-def answer(key: packet.FlowKey, size_bytes: int) -> bytes:
+def answer_packet(key: packet.FlowKey, size_bytes: int) -> bytes:
     """Return a target's packet of a flow."""
     caller = packet.Address(key.caller_ip, key.caller_port)
     address = packet.Address(key.service_ip, key.service_port)
@@ -102,6 +104,6 @@
 def _flows(
     current: epoch.Epoch, owner: service.Service, home: str
 ) -> list[packet.FlowKey]:
-    candidates = (flow(number, owner.address) for number in range(_SEARCH))
+    candidates = (flow_key(number, owner.address) for number in range(_SEARCH))
     found = (key for key in candidates if current.locate(key, owner).home == home)
-    return [key for key, _ in zip(found, range(FLOWS), strict=False)]
+    return [key for key, _ in zip(found, range(FLOWS_PER_PATH), strict=False)]
--- a/eelgrasswick/trials/packet_socket.py
+++ b/eelgrasswick/trials/packet_socket.py
@@ -30,12 +30,12 @@
 from eelgrasswick.trials import packet_path
 
 ROUNDS: typing.Final = 10
-BATCH: typing.Final = 50
-READY_S: typing.Final = 10.0
+BATCH_PACKETS: typing.Final = 50
+READY_TIMEOUT_S: typing.Final = 10.0
 SETTLE_S: typing.Final = 6.0
 ZONE: typing.Final = "z1"
-ME: typing.Final = "vm1"
-OTHER: typing.Final = "vm2"
+VM_NAME: typing.Final = "vm1"
+PEER_NAME: typing.Final = "vm2"
 _IP: typing.Final = "127.3.200.1"
 _OTHER_IP: typing.Final = "127.3.200.2"
 _FABRIC: typing.Final = "127.3.201.1:6080"
@@ -102,7 +102,7 @@
     def paths(self) -> list[packet_path.Path]:
         """Return the paths through the daemon."""
         owner = self._epoch.config.services["s0"]
-        return packet_path.build(self._epoch, owner, ME, OTHER)
+        return packet_path.build_paths(self._epoch, owner, VM_NAME, PEER_NAME)
 
     def time(self, path: packet_path.Path, stages: typing.Sequence[Stage]) -> Timing:
         """Time the daemon, the echo and some stages in turns.
@@ -120,14 +120,14 @@
         daemon_us = []
         floor_us = []
         stages_us: list[list[float]] = [[] for _ in stages]
-        for _ in range(1 if path.once else ROUNDS):
-            for start in range(0, len(path.packets), BATCH):
+        for _ in range(1 if path.send_once else ROUNDS):
+            for start in range(0, len(path.packets), BATCH_PACKETS):
                 daemon_us.append(
                     self._batch(path, start, lambda: counts[request] + counts[answer])
                 )
                 floor_us.append(self._echo_batch(len(path.packets[start])))
                 for stage, samples in zip(stages, stages_us, strict=True):
-                    samples.append(_stage_us(stage, start, start + BATCH))
+                    samples.append(_stage_us(stage, start, start + BATCH_PACKETS))
         return Timing(
             statistics.median(daemon_us),
             statistics.median(floor_us),
@@ -135,9 +135,9 @@
         )
 
     def _echo_batch(self, size_bytes: int) -> float:
-        for _ in range(BATCH):
+        for _ in range(BATCH_PACKETS):
             self._fabric.sendto(bytes(size_bytes), _ECHO)
-        taken_us = self._drain(BATCH, lambda: self._echo.handled)
+        taken_us = self._drain(BATCH_PACKETS, lambda: self._echo.handled)
         _empty(self._fabric)
         return taken_us
 
@@ -155,7 +155,7 @@
         self._greet()
         self._reactor.iterate(0)
         self._reactor.iterate(0)
-        end = min(start + BATCH, len(path.packets))
+        end = min(start + BATCH_PACKETS, len(path.packets))
         for index in range(start, end):
             self._send(path, index)
         taken_us = self._drain(end - start, handled)
@@ -186,7 +186,7 @@
         # it would be taken for dead, and its flows would no longer be another
         # VM's.
         state = member.MemberState.ALIVE
-        other = member.Member(OTHER, ZONE, _OTHER_IP, 6081, 6082, 1, 1, state)
+        other = member.Member(PEER_NAME, ZONE, _OTHER_IP, 6081, 6082, 1, 1, state)
         sequence = self._engine.keeper.sequence
         ping = wire.Ping(0, other, sequence, ())
         self._other.sendto(wire.encode(ping), (_IP, 6081))
@@ -199,7 +199,7 @@
     def _start_daemon(self) -> engine.Engine:
         rng = random.Random(1)
         settings = setting.read(
-            f"[vm]\nname = {ME}\nzone = {ZONE}\nip = {_IP}\n"
+            f"[vm]\nname = {VM_NAME}\nzone = {ZONE}\nip = {_IP}\n"
             f"[fabric]\negress = {_FABRIC}\n[fleet]\nnetworks = 127.3.200.0/24\n"
             "[platform]\nurl = http://127.3.200.1:1\n[log]\ndropped_per_s = 1\n"
         )
@@ -212,7 +212,7 @@
         return runs
 
     def _await(self, done: typing.Callable[[], bool]) -> None:
-        deadline_s = time.monotonic() + READY_S
+        deadline_s = time.monotonic() + READY_TIMEOUT_S
         while not done():
             if time.monotonic() > deadline_s:
                 raise TimeoutError("the daemon does not get ready")
--- a/tests/test_epoch_follow.py
+++ b/tests/test_epoch_follow.py
@@ -12,7 +12,7 @@
 ZONES = ("z1", "z2", "z3")
 CONFIG = config.Config(virtual_fleet.document(1, virtual_fleet.rules_text(1, 6, ZONES)))
 OWNER = CONFIG.services["s0"]
-FLOWS = [packet_path.flow(number, OWNER.address) for number in range(200)]
+FLOWS = [packet_path.flow_key(number, OWNER.address) for number in range(200)]
 
 
 def vm(number: int, zone: str, size: int, incarnation: int) -> member.Member:
--- a/tests/test_packet_cost.py
+++ b/tests/test_packet_cost.py
@@ -17,7 +17,7 @@
 
 def test_every_path_has_packets(bench: packet_cost.EngineBench) -> None:
     for path in bench.paths():
-        assert len(path.packets) == packet_path.FLOWS
+        assert len(path.packets) == packet_path.FLOWS_PER_PATH
 
 
 def test_paths_take_the_way_their_names_say(bench: packet_cost.EngineBench) -> None:
@@ -27,7 +27,7 @@
         before = bench.count(forwarded)
         bench.feed(bench.events(path))
         seen[path.name] = bench.count(forwarded) - before
-    assert seen.pop("request_to_other_home") == packet_path.FLOWS
+    assert seen.pop("request_to_other_home") == packet_path.FLOWS_PER_PATH
     assert set(seen.values()) == {0}
 
 
