--- a/eelgrasswick/trials/trial_counts.py
+++ b/eelgrasswick/trials/trial_counts.py
@@ -6,12 +6,12 @@
 LOAD_REPORT_MS: typing.Final = 1000.0
 
 
-class Counts:
+class OpenFlowCounts:
     """Open flows by home and target, with the others' counts a second late."""
 
     def __init__(self, begin_ms: float) -> None:
         """Start without flows at a virtual time in milliseconds."""
-        self.all: collections.Counter[str] = collections.Counter()
+        self.totals: collections.Counter[str] = collections.Counter()
         self._own: dict[str, collections.Counter[str]] = {}
         self._late_all: collections.Counter[str] = collections.Counter()
         self._late_own: dict[str, collections.Counter[str]] = {}
@@ -19,7 +19,7 @@
 
     def add(self, home: str, name: str, step: int) -> None:
         """Count flows of a home on a target up or down."""
-        self.all[name] += step
+        self.totals[name] += step
         self._own.setdefault(home, collections.Counter())[name] += step
 
     def refresh(self, now_ms: float) -> None:
@@ -27,10 +27,10 @@
         if now_ms < self._next_ms:
             return
         self._next_ms = now_ms + LOAD_REPORT_MS
-        self._late_all = self.all.copy()
+        self._late_all = self.totals.copy()
         self._late_own = {home: own.copy() for home, own in self._own.items()}
 
-    def seen(self, home: str, name: str) -> int:
+    def estimate(self, home: str, name: str) -> int:
         """Return a target's open flows as one home knows them."""
         late_own = self._late_own.get(home)
         others = self._late_all[name] - (late_own[name] if late_own else 0)
--- a/eelgrasswick/trials/trial_engine.py
+++ b/eelgrasswick/trials/trial_engine.py
@@ -19,11 +19,11 @@
     trial_placement,
 )
 
-READY_MS: typing.Final = 20_000.0
+READY_TIMEOUT_MS: typing.Final = 20_000.0
 SETTLE_MS: typing.Final = 6000.0
-LIMIT_MS: typing.Final = 5 * trial_load.LONG_MAX_MS
-REPEAT_MS: typing.Final = 400.0
-FABRIC_LAG_MS: typing.Final = 1000.0
+END_TIMEOUT_MS: typing.Final = 5 * trial_load.LONG_MAX_MS
+RETRANSMIT_MS: typing.Final = 400.0
+FABRIC_DETECTION_MS: typing.Final = 1000.0
 REQUEST_BYTES: typing.Final = 200
 _FABRIC: typing.Final = packet.address("10.255.0.1:6080")
 _TARGET_SEQUENCE: typing.Final = 1
@@ -99,7 +99,7 @@
         return _segment(key, packet.Flags.ACK, self.step, REQUEST_BYTES)
 
 
-class Run:
+class EngineTrial:
     """The fleet with its callers and targets."""
 
     def __init__(self, load: trial_load.Load) -> None:
@@ -120,7 +120,7 @@
         zones = trial_placement.ZONES
         self._text = virtual_fleet.rules_text(1, targets, zones)
         self._fleet.put_rules(virtual_fleet.document(1, self._text))
-        assert self._fleet.run_until(self._fleet.ready, READY_MS)
+        assert self._fleet.run_until(self._fleet.ready, READY_TIMEOUT_MS)
         self._fleet.run(SETTLE_MS)
 
     def play(self) -> Row:
@@ -128,7 +128,7 @@
         before = self._fleet.traffic()
         cpu_before_ns = sum(vm.cpu_ns for vm in self._fleet.vms)
         span_ms = self._load.duration_s * 1000.0
-        for item in trial_load.flows(self._load, warm_up=False):
+        for item in trial_load.generate_flows(self._load, warm_up=False):
             self._fleet.later(item.at_ms, lambda item=item: self._open(item))  # type: ignore[misc]
         self._fleet.later(span_ms / 2, self._drain)
         self._fleet.later(span_ms * 3 / 4, self._kill)
@@ -141,11 +141,13 @@
         passes = handled / self._handed
         calls = self._calls.values()
         # A round trip lengthens each step, so a flow takes longer than planned.
-        self._fleet.run_until(lambda: all(item.over for item in calls), LIMIT_MS)
+        self._fleet.run_until(lambda: all(item.over for item in calls), END_TIMEOUT_MS)
         each_s = self._load.vms * self._load.duration_s
         placed = self._total(message.Counter.FLOWS_PLACED)
         exceptions = self._total(message.Counter.FLOWS_EXCEPTION)
-        entry_bytes = trial_placement.KEEP_BYTES + trial_placement.FORGET_BYTES
+        entry_bytes = (
+            trial_placement.BACKUP_ENTRY_BYTES + trial_placement.DISCARD_ENTRY_BYTES
+        )
         return Row(
             self._load.vms,
             len(calls),
@@ -172,7 +174,7 @@
     def _kill(self) -> None:
         dead = self._fleet.vms[0]
         self._fleet.kill(dead)
-        self._fleet.later(FABRIC_LAG_MS, lambda: self._spread.remove(dead))
+        self._fleet.later(FABRIC_DETECTION_MS, lambda: self._spread.remove(dead))
 
     # Callers.
 
@@ -185,7 +187,7 @@
         if call.over or call.step != step:
             return
         self._hand(_FABRIC, call.request())
-        self._fleet.later(REPEAT_MS, lambda: self._send(call, step))
+        self._fleet.later(RETRANSMIT_MS, lambda: self._send(call, step))
 
     def _to_caller(self, vm: virtual_fleet.Vm, action: message.SendFabric) -> None:
         self._fleet.later(self._fleet.delay_ms(), lambda: self._heard(action.payload))
@@ -198,7 +200,7 @@
         elif item.acknowledgement == call.step + 1:
             call.step += 1
             step = call.step
-            wait_ms = call.flow.every_ms if 1 < step < call.steps else 0.0
+            wait_ms = call.flow.interval_ms if 1 < step < call.steps else 0.0
             self._fleet.later(wait_ms, lambda: self._send(call, step))
 
     # Targets.
@@ -236,11 +238,11 @@
 
 def run(load: trial_load.Load) -> Row:
     """Run the trial on engines."""
-    return Run(load).play()
+    return EngineTrial(load).play()
 
 
 def _policy(load: trial_load.Load) -> type[placement.Placement]:
-    return placement.BoundedHash if load.learns else virtual_fleet.ClaimedHash
+    return placement.BoundedHash if load.learns_capacity else virtual_fleet.ClaimedHash
 
 
 def _segment(key: packet.FlowKey, flags: int, sequence: int, size: int) -> bytes:
--- a/eelgrasswick/trials/trial_load.py
+++ b/eelgrasswick/trials/trial_load.py
@@ -16,12 +16,12 @@
 LONG_SHARE: typing.Final = 0.2
 SHORT_MEDIAN_MS: typing.Final = 300.0
 SHORT_SIGMA: typing.Final = 1.0
-SHORT_PACKETS: typing.Final = 4
+SHORT_INTERVALS: typing.Final = 4
 LONG_MIN_MS: typing.Final = 2000.0
 LONG_MAX_MS: typing.Final = 60_000.0
 LONG_ALPHA: typing.Final = 1.2
-BOARD_EVERY_MS: typing.Final = 500.0
-DOWNLOAD_EVERY_MS: typing.Final = 20.0
+BOARD_INTERVAL_MS: typing.Final = 500.0
+DOWNLOAD_INTERVAL_MS: typing.Final = 20.0
 DOWNLOAD_SHARE: typing.Final = 0.25
 ADDRESS: typing.Final = packet.address("10.100.0.1:443")
 
@@ -42,8 +42,8 @@
     rate_per_s: int
     duration_s: int
     seed: int
-    factor: float = placement.OPEN_FACTOR
-    learns: bool = True
+    bound_factor: float = placement.OPEN_FACTOR
+    learns_capacity: bool = True
 
 
 class Flow(typing.NamedTuple):
@@ -59,15 +59,15 @@
     key: packet.FlowKey
     at_ms: float
     until_ms: float
-    every_ms: float
+    interval_ms: float
 
     def requests_ms(self) -> list[float]:
         """Return when the caller sends; the first is the opening packet."""
-        count = int((self.until_ms - self.at_ms) / self.every_ms) + 1
-        return [self.at_ms + index * self.every_ms for index in range(count)]
+        count = int((self.until_ms - self.at_ms) / self.interval_ms) + 1
+        return [self.at_ms + index * self.interval_ms for index in range(count)]
 
 
-def flows(load: Load, warm_up: bool = True) -> list[Flow]:
+def generate_flows(load: Load, warm_up: bool = True) -> list[Flow]:
     """Return the flows of a trial in the order in which they open.
 
     Args:
@@ -93,7 +93,7 @@
     if rng.random() < LONG_SHARE:
         length_ms = min(LONG_MAX_MS, LONG_MIN_MS * rng.paretovariate(LONG_ALPHA))
         download = rng.random() < DOWNLOAD_SHARE
-        every_ms = DOWNLOAD_EVERY_MS if download else BOARD_EVERY_MS
+        every_ms = DOWNLOAD_INTERVAL_MS if download else BOARD_INTERVAL_MS
         return Flow(key, at_ms, at_ms + length_ms, every_ms)
     length_ms = SHORT_MEDIAN_MS * rng.lognormvariate(0.0, SHORT_SIGMA)
-    return Flow(key, at_ms, at_ms + length_ms, length_ms / SHORT_PACKETS)
+    return Flow(key, at_ms, at_ms + length_ms, length_ms / SHORT_INTERVALS)
--- a/eelgrasswick/trials/trial_placement.py
+++ b/eelgrasswick/trials/trial_placement.py
@@ -31,9 +31,9 @@
 ZONES: typing.Final = ("z1", "z2", "z3")
 TARGETS: typing.Final = 7
 HINT_TTL_MS: typing.Final = 10_000.0
-FLUSH_MS: typing.Final = 50.0
-DETECT_MS: typing.Final = 1300.0
-SPREAD_MS: typing.Final = 200.0
+BACKUP_FLUSH_MS: typing.Final = 50.0
+DETECTION_MS: typing.Final = 1300.0
+DISSEMINATION_MS: typing.Final = 200.0
 _SAMPLE_MS: typing.Final = 500.0
 
 
@@ -76,7 +76,7 @@
     stalled_by_kill: int
 
 
-class Placed(typing.NamedTuple):
+class PlacedFlow(typing.NamedTuple):
     """One flow on its target.
 
     Attributes:
@@ -97,7 +97,7 @@
         return self.target != self.default
 
 
-class Outcome(typing.NamedTuple):
+class Placements(typing.NamedTuple):
     """All flows on their targets.
 
     Attributes:
@@ -105,11 +105,11 @@
         imbalance: Mean over time of the fullest target's load over its share.
     """
 
-    flows: list[Placed]
+    flows: list[PlacedFlow]
     imbalance: float
 
 
-class Passage(typing.NamedTuple):
+class PacketCounts(typing.NamedTuple):
     """The packets of one flow on their way through the VMs.
 
     Attributes:
@@ -125,7 +125,7 @@
 
 def run(load: trial_load.Load) -> list[Row]:
     """Return one row for each way."""
-    stage = Stage(load)
+    stage = Setup(load)
     plain = stage.place(bounded=False)
     bounded = stage.place(bounded=True)
     return [
@@ -136,14 +136,14 @@
     ]
 
 
-class Stage:
+class Setup:
     """The load, the fleet and the rules that all ways share."""
 
     def __init__(self, load: trial_load.Load) -> None:
         """Prepare the flows and an epoch."""
         self.load = load
         self.rng = random.Random(load.seed + 1)
-        self.flows = trial_load.flows(load)
+        self.flows = trial_load.generate_flows(load)
         self.names = [f"vm{index + 1}" for index in range(load.vms)]
         self.end_ms = load.duration_s * 1000.0
         text = virtual_fleet.rules_text(1, TARGETS, ZONES)
@@ -161,10 +161,10 @@
         """Return the service of all flows under an epoch."""
         return of.config.services["s0"]
 
-    def place(self, bounded: bool) -> Outcome:
+    def place(self, bounded: bool) -> Placements:
         """Place all flows; each home knows the others' counts of a second ago."""
         policy = placement.BoundedHash()
-        tables = trial_counts.Counts(-trial_load.LONG_MAX_MS)
+        tables = trial_counts.OpenFlowCounts(-trial_load.LONG_MAX_MS)
         closing: list[tuple[float, str, str]] = []
         placed = []
         samples = []
@@ -177,35 +177,35 @@
             tables.refresh(item.at_ms)
             if item.at_ms >= sample_ms:
                 sample_ms = item.at_ms + _SAMPLE_MS
-                samples.append(_imbalance(tables.all, owner.targets))
+                samples.append(_imbalance(tables.totals, owner.targets))
             place = self.epoch.locate(item.key, owner)
             assert place.default is not None and place.home is not None
             chosen = place.default
             if bounded:
                 loads = [
-                    _target_load(one, tables.seen(place.home, one.name))
+                    _target_load(one, tables.estimate(place.home, one.name))
                     for one in self.epoch.ranked(item.key, owner)
                 ]
-                chosen = policy.choose(loads, self.load.factor) or chosen
+                chosen = policy.choose(loads, self.load.bound_factor) or chosen
             tables.add(place.home, chosen.name, 1)
             heapq.heappush(closing, (item.until_ms, place.home, chosen.name))
-            placed.append(Placed(item, chosen.name, place.default.name, place.home))
-        return Outcome(placed, sum(samples) / len(samples))
+            placed.append(PlacedFlow(item, chosen.name, place.default.name, place.home))
+        return Placements(placed, sum(samples) / len(samples))
 
-    def new(self, placed: Outcome) -> list[Placed]:
+    def new(self, placed: Placements) -> list[PlacedFlow]:
         """Return the flows that open during the trial."""
         return [item for item in placed.flows if item.flow.at_ms >= 0]
 
-    def open(self, placed: Outcome) -> list[Placed]:
+    def open(self, placed: Placements) -> list[PlacedFlow]:
         """Return the flows that are open when the trial ends."""
         return [item for item in placed.flows if item.flow.until_ms > self.end_ms]
 
-    def pass_directly(self, item: Placed) -> Passage:
+    def count_direct(self, item: PlacedFlow) -> PacketCounts:
         """Carry a flow whose packets each go straight from any VM."""
         packets = 2 * len(item.flow.requests_ms())
-        return Passage(packets, packets, 0)
+        return PacketCounts(packets, packets, 0)
 
-    def pass_by_hint(self, item: Placed) -> Passage:
+    def count_with_hints(self, item: PlacedFlow) -> PacketCounts:
         """Carry a flow by the home, except where a VM has a hint."""
         hints: dict[str, float] = {}
         times_ms = item.flow.requests_ms()
@@ -216,34 +216,34 @@
             known = not ends and hints.get(entry, -1.0) >= at_ms
             away = entry != item.home and not known
             passes += 2 if away else 1
-            waits = self.end_ms - DETECT_MS <= at_ms < self.end_ms
+            waits = self.end_ms - DETECTION_MS <= at_ms < self.end_ms
             if waits and item.home == self.names[0] and not known:
                 stalled += 1
             back = self.rng.choice(self.names)
             passes += 2 if ends and back != item.home else 1
             hints[back] = at_ms + HINT_TTL_MS
-        return Passage(2 * len(times_ms), passes, stalled)
+        return PacketCounts(2 * len(times_ms), passes, stalled)
 
-    def hints(self, item: Placed) -> int:
+    def hints(self, item: PlacedFlow) -> int:
         """Return how many VMs hold a hint of a flow when the trial ends."""
         since_ms = self.end_ms - HINT_TTL_MS
         answers = sum(since_ms <= t < self.end_ms for t in item.flow.requests_ms())
         return len({self.rng.choice(self.names) for _ in range(answers)})
 
-    def pass_by_home(self, item: Placed) -> Passage:
+    def count_through_home(self, item: PlacedFlow) -> PacketCounts:
         """Carry a flow whose requests all go by the home."""
         times_ms = item.flow.requests_ms()
         away = sum(self.rng.choice(self.names) != item.home for _ in times_ms)
-        waits = [t for t in times_ms if self.end_ms - DETECT_MS <= t < self.end_ms]
+        waits = [t for t in times_ms if self.end_ms - DETECTION_MS <= t < self.end_ms]
         stalled = len(waits) if item.home == self.names[0] else 0
-        return Passage(2 * len(times_ms), 2 * len(times_ms) + away, stalled)
+        return PacketCounts(2 * len(times_ms), 2 * len(times_ms) + away, stalled)
 
 
-def _slots(stage: Stage, way: str, placed: Outcome) -> Row:
+def _slots(stage: Setup, way: str, placed: Placements) -> Row:
     new, still = stage.new(placed), stage.open(placed)
     exceptions = [item for item in new if item.exception]
     others = stage.load.vms - 1
-    told = len(exceptions) * (KEEP_BYTES + FORGET_BYTES) * others
+    told = len(exceptions) * (BACKUP_ENTRY_BYTES + DISCARD_ENTRY_BYTES) * others
     moved = [item for item in still if _default(stage, item) != item.default]
     kept = sum(item.exception for item in still)
     # While a table spreads, the packets of a flow that opens now meet VMs of
@@ -251,31 +251,31 @@
     opening = [
         item
         for item in still
-        if item.flow.at_ms >= stage.end_ms - SPREAD_MS
+        if item.flow.at_ms >= stage.end_ms - DISSEMINATION_MS
         and _default(stage, item) != item.default
     ]
-    passages = [stage.pass_directly(item) for item in new]
+    passages = [stage.count_direct(item) for item in new]
     return _row(stage, way, placed, passages)._replace(
         control_bytes_per_flow=round(told / len(new), 1),
-        drain_bytes=round(len(moved) * KEEP_BYTES * others),
+        drain_bytes=round(len(moved) * BACKUP_ENTRY_BYTES * others),
         records_per_flow=round(kept * stage.load.vms / len(still), 2),
         lost_by_drain=len(opening),
     )
 
 
-def _home(stage: Stage, placed: Outcome) -> Row:
+def _home(stage: Setup, placed: Placements) -> Row:
     new, still = stage.new(placed), stage.open(placed)
     exceptions = sum(item.exception for item in new)
-    told = exceptions * (KEEP_BYTES + FORGET_BYTES)
+    told = exceptions * (BACKUP_ENTRY_BYTES + DISCARD_ENTRY_BYTES)
     kept = sum(item.exception for item in still)
-    passages = [stage.pass_by_hint(item) for item in new]
+    passages = [stage.count_with_hints(item) for item in new]
     hints = sum(stage.hints(item) for item in placed.flows)
     fresh = [
         item
         for item in still
         if item.exception
         and item.home == stage.names[0]
-        and item.flow.at_ms >= stage.end_ms - FLUSH_MS
+        and item.flow.at_ms >= stage.end_ms - BACKUP_FLUSH_MS
     ]
     return _row(stage, "home", placed, passages)._replace(
         control_bytes_per_flow=round(told / len(new), 1),
@@ -287,25 +287,28 @@
     )
 
 
-def _relay(stage: Stage, placed: Outcome) -> Row:
+def _relay(stage: Setup, placed: Placements) -> Row:
     new, still = stage.new(placed), stage.open(placed)
     fresh = [
         item
         for item in still
-        if item.home == stage.names[0] and item.flow.at_ms >= stage.end_ms - FLUSH_MS
+        if item.home == stage.names[0]
+        and item.flow.at_ms >= stage.end_ms - BACKUP_FLUSH_MS
     ]
     gone = sum(item.home == stage.names[0] for item in still)
-    passages = [stage.pass_by_home(item) for item in new]
+    passages = [stage.count_through_home(item) for item in new]
     return _row(stage, "relay", placed, passages)._replace(
-        control_bytes_per_flow=float(round(KEEP_BYTES + FORGET_BYTES, 1)),
+        control_bytes_per_flow=float(
+            round(BACKUP_ENTRY_BYTES + DISCARD_ENTRY_BYTES, 1)
+        ),
         # The home hands its flows over, and their new home keeps them anew.
-        leave_bytes=round(2 * gone * KEEP_BYTES),
+        leave_bytes=round(2 * gone * BACKUP_ENTRY_BYTES),
         records_per_flow=2.0,
         lost_by_kill=len(fresh),
     )
 
 
-def _moved_bytes(stage: Stage, still: list[Placed], after: epoch.Epoch) -> int:
+def _moved_bytes(stage: Setup, still: list[PlacedFlow], after: epoch.Epoch) -> int:
     # As the rehomer does: an exception goes to its new home, or to the backup
     # when the home stays; a new home has its backup keep it.
     owner = stage.owner(after)
@@ -316,17 +319,19 @@
         if item.target == place.default.name:
             continue
         sent += 2 if place.home != item.home else 1
-    return round(sent * KEEP_BYTES)
+    return round(sent * BACKUP_ENTRY_BYTES)
 
 
-def _default(stage: Stage, item: Placed) -> str:
+def _default(stage: Setup, item: PlacedFlow) -> str:
     owner = stage.owner(stage.after_drain)
     default = stage.after_drain.locate(item.flow.key, owner).default
     assert default is not None
     return default.name
 
 
-def _row(stage: Stage, way: str, placed: Outcome, passages: list[Passage]) -> Row:
+def _row(
+    stage: Setup, way: str, placed: Placements, passages: list[PacketCounts]
+) -> Row:
     new, still = stage.new(placed), stage.open(placed)
     packets = sum(item.packets for item in passages)
     return Row(
@@ -377,10 +382,10 @@
     return len(wire.encode(kind((entry,) * replica.BATCH_FLOWS))) / replica.BATCH_FLOWS
 
 
-KEEP_BYTES: typing.Final = _per_entry(
+BACKUP_ENTRY_BYTES: typing.Final = _per_entry(
     wire.BackupExceptions, wire.FlowPlacement(bytes(13), "target-17")
 )
-FORGET_BYTES: typing.Final = _per_entry(wire.DiscardExceptions, bytes(13))
+DISCARD_ENTRY_BYTES: typing.Final = _per_entry(wire.DiscardExceptions, bytes(13))
 
 
 def _target_load(item: target.Target, flows: float) -> placement.TargetLoad:
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -17,7 +17,9 @@
 
 
 def test_load_is_the_same_for_a_seed(small_load: trial_load.Load) -> None:
-    assert trial_load.flows(small_load) == trial_load.flows(small_load)
+    assert trial_load.generate_flows(small_load) == trial_load.generate_flows(
+        small_load
+    )
 
 
 def test_home_needs_fewer_control_bytes_than_a_relay(
@@ -34,7 +36,7 @@
 def test_bound_keeps_targets_nearer_to_their_share(
     small_load: trial_load.Load,
 ) -> None:
-    tight = small_load._replace(factor=1.1)
+    tight = small_load._replace(bound_factor=1.1)
     rows = {row.way: row for row in trial_placement.run(tight)}
     assert rows["home"].imbalance < rows["slots_plain"].imbalance
     assert rows["slots_plain"].exception_share == 0.0
