--- a/eelgrasswick/trials/trial_overload.py
+++ b/eelgrasswick/trials/trial_overload.py
@@ -11,8 +11,8 @@
 BIN_MS: typing.Final = 500
 # Requests of the first seconds find empty queues, and those of the last ones may
 # still wait when the run ends. Neither counts.
-BEGIN_MS: typing.Final = 2000
-END_MS: typing.Final = 1500
+WARM_UP_MS: typing.Final = 2000
+COOL_DOWN_MS: typing.Final = 1500
 
 
 class Row(typing.NamedTuple):
@@ -57,7 +57,7 @@
     ends = open_load.Play(load, segments.Codec(), seed).run()
     if plot is not None:
         _draw(load, ends, plot, f"{name}, seed {seed}")
-    counted = between(ends, BEGIN_MS, load.length_ms - END_MS)
+    counted = asked_between(ends, WARM_UP_MS, load.length_ms - COOL_DOWN_MS)
     kinds = [f"{kind.name}:{_worth_of(counted, kind):.3f}" for kind in load.kinds]
     return Row(
         name,
@@ -75,7 +75,7 @@
     return open_load.worth(item for item in ends if item.kind is kind)
 
 
-def between(
+def asked_between(
     ends: typing.Iterable[open_load.End], from_ms: int, to_ms: int
 ) -> list[open_load.End]:
     """Return the requests that were asked in a span of time."""
--- a/eelgrasswick/trials/trial_spread.py
+++ b/eelgrasswick/trials/trial_spread.py
@@ -13,7 +13,7 @@
 
 CHANGES: typing.Final = 5
 SETTLE_MS: typing.Final = 3000.0
-LIMIT_MS: typing.Final = 30_000.0
+SPREAD_TIMEOUT_MS: typing.Final = 30_000.0
 ZONES: typing.Final = ("z1", "z2", "z3")
 
 
@@ -52,7 +52,7 @@
     fleet = virtual_fleet.VirtualFleet(vms, ZONES, seed, loss, fan_out)
     text = virtual_fleet.rules_text(2, 10, ZONES)
     fleet.put_rules(virtual_fleet.document(1, text))
-    fleet.run_until(fleet.ready, LIMIT_MS)
+    fleet.run_until(fleet.ready, SPREAD_TIMEOUT_MS)
     fleet.run(SETTLE_MS)
     before = _sent(fleet)
     calls_before = sum(fleet.platform.calls.values())
@@ -90,7 +90,7 @@
     def lacking() -> int:
         return sum(vm.engine.keeper.sequence < sequence for vm in fleet.vms)
 
-    fleet.run_until(lambda: not lacking(), LIMIT_MS)
+    fleet.run_until(lambda: not lacking(), SPREAD_TIMEOUT_MS)
     last_ms = max(vm.in_force_ms.get(sequence, fleet.now_ms) for vm in fleet.vms)
     missing = lacking()
     fleet.run(SETTLE_MS)
--- a/eelgrasswick/trials/trial_steering.py
+++ b/eelgrasswick/trials/trial_steering.py
@@ -24,7 +24,7 @@
     crossed: float
 
 
-class Second(typing.NamedTuple):
+class EndCounts(typing.NamedTuple):
     """Requests that ended in one bin of half a second."""
 
     in_time: int
@@ -65,7 +65,7 @@
 
 def timeline(
     load: cookie_scenario.Load, ends: typing.Iterable[cookie_load.End]
-) -> list[Second]:
+) -> list[EndCounts]:
     """Return how requests ended, by bins of half a second from the start on."""
     late: collections.Counter[int] = collections.Counter()
     failed: collections.Counter[int] = collections.Counter()
@@ -78,12 +78,12 @@
             count = late
         count[item.at_ms // BIN_MS] += 1
     bins = range(load.length_ms // BIN_MS)
-    return [Second(in_time[n], late[n], failed[n]) for n in bins]
+    return [EndCounts(in_time[n], late[n], failed[n]) for n in bins]
 
 
 def draw(
     load: cookie_scenario.Load,
-    seconds: typing.Sequence[Second],
+    seconds: typing.Sequence[EndCounts],
     path: pathlib.Path,
     title: str,
 ) -> None:
@@ -99,7 +99,7 @@
     parts = [
         picture.Series(label, color, counts)
         for label, color, counts in zip(
-            Second._fields, colors, zip(*seconds, strict=True), strict=True
+            EndCounts._fields, colors, zip(*seconds, strict=True), strict=True
         )
     ]
     marks = [
--- a/tests/test_overload_play.py
+++ b/tests/test_overload_play.py
@@ -18,16 +18,16 @@
 
 
 def _worth(ends: list[open_load.End], from_ms: int, to_ms: int, zones: str) -> float:
-    asked = trial_overload.between(ends, from_ms, to_ms)
+    asked = trial_overload.asked_between(ends, from_ms, to_ms)
     return open_load.worth(item for item in asked if item.zone in zones.split())
 
 
 def _steady(name: str, seed: int = 1) -> float:
     load = open_scenario.LOADS[name]
     ends = _play(name, seed)
-    end_ms = load.length_ms - trial_overload.END_MS
+    end_ms = load.length_ms - trial_overload.COOL_DOWN_MS
     return open_load.worth(
-        trial_overload.between(ends, trial_overload.BEGIN_MS, end_ms)
+        trial_overload.asked_between(ends, trial_overload.WARM_UP_MS, end_ms)
     )
 
 
@@ -118,7 +118,7 @@
     """
     ends = _play("burst_ends", seed)
     end_ms = 7000
-    asked = trial_overload.between(ends, end_ms + 2000, end_ms + 3000)
+    asked = trial_overload.asked_between(ends, end_ms + 2000, end_ms + 3000)
     assert open_load.worth(asked) > 0.95
 
 
--- a/tests/test_trial_steering.py
+++ b/tests/test_trial_steering.py
@@ -18,7 +18,10 @@
         cookie_load.End(1001, 80),
     ]
     found = trial_steering.timeline(load, ends)
-    assert found == [trial_steering.Second(1, 1, 0), trial_steering.Second(0, 0, 1)]
+    assert found == [
+        trial_steering.EndCounts(1, 1, 0),
+        trial_steering.EndCounts(0, 0, 1),
+    ]
 
 
 def test_unknown_load_is_named_with_those_that_exist() -> None:
