--- a/eelgrasswick/trials/__init__.py
+++ b/eelgrasswick/trials/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that run as commands."""
+"""Commands that measure the load balancer in virtual time or on sockets."""
--- a/eelgrasswick/trials/capacity.py
+++ b/eelgrasswick/trials/capacity.py
@@ -1,4 +1,4 @@
-"""The command that measures slopes and works the size to design for out."""
+"""The command that measures slopes and extrapolates them to the design size."""
 
 import dataclasses
 import typing
@@ -28,11 +28,11 @@
     ] = dataclasses.field(default_factory=lambda: list(DEFAULT_LINE_COUNTS))
 
     def __call__(self) -> None:
-        """Print what was measured, then one line per cost."""
-        fleets = [_shown(capacity_slope.measure_fleet(n)) for n in self.fleets]
-        rules = [_shown(capacity_slope.measure_rules(n)) for n in self.lines]
+        """Print the measured points, then one line per cost."""
+        fleets = [_printed(capacity_slope.measure_fleet(n)) for n in self.fleets]
+        rules = [_printed(capacity_slope.measure_rules(n)) for n in self.lines]
         units = {
-            item.what: _shown(item).value for item in capacity_slope.measure_units()
+            item.what: _printed(item).value for item in capacity_slope.measure_units()
         }
         for row in capacity_table.table(fit_slopes(fleets, rules, units)):
             trial.print_row(row)
@@ -41,7 +41,7 @@
 Point = typing.TypeVar("Point")
 
 
-def _shown(point: Point) -> Point:
+def _printed(point: Point) -> Point:
     trial.print_row(point)
     return point
 
@@ -51,7 +51,13 @@
     rules: typing.Sequence[capacity_slope.RulesPoint],
     units: typing.Mapping[str, float],
 ) -> capacity_table.Slopes:
-    """Put measured points together into slopes."""
+    """Return the slopes that fit the measured points.
+
+    Args:
+        fleets: Measurements of fleets of several sizes.
+        rules: Measurements of rules files of several sizes.
+        units: Measured cost of one more of something, by name.
+    """
     base, per_vm = capacity_slope.fit_line([(n.vms, n.cpu_share) for n in fleets])
     open_us, open_per_vm = capacity_slope.fit_line([(n.vms, n.open_us) for n in fleets])
     largest = max(fleets)
--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -1,6 +1,6 @@
-"""Slopes: what each part costs as the fleet, the rules and the flows grow.
+"""Measurements of how costs grow with the fleet, the rules and the flows.
 
-All of them are measured in this process; the fleets run in virtual time.
+All costs are measured in the calling process; the fleets run in virtual time.
 """
 
 import gc
@@ -37,17 +37,18 @@
 
 
 class FleetPoint(typing.NamedTuple):
-    """One fleet at rest.
+    """Measured costs of an idle fleet of one size.
 
     Attributes:
         vms: Entry VMs.
-        ready_ms: Virtual time until every VM served and knew all others.
+        ready_ms: Virtual time until every VM served and had a record of all
+            others.
         heartbeat_bytes_per_s: Pings, Acks and PingVias sent per VM.
         report_bytes_per_s: Other control bytes sent per VM.
         messages_per_s: Control messages sent per VM.
         cpu_share: Processor time of one engine, as a share of a core.
         store_calls_per_s: Calls to the store by the whole fleet.
-        watches: Watches that wait at the store.
+        watches: Watches open at the store.
         open_us: Processor time to open one flow at its home.
     """
 
@@ -63,16 +64,16 @@
 
 
 class RulesPoint(typing.NamedTuple):
-    """One size of the rules.
+    """Measured costs of a rules file of one size.
 
     Attributes:
         lines: Lines of the rules file.
-        text_bytes: Its size.
-        document_bytes: The document as the store and the links carry it.
-        compile_ms: Processor time to read and compile it.
-        epoch_ms: Processor time to make an epoch of them and to look one flow
-            of each service up.
-        memory_bytes: Memory of the compiled form and one epoch.
+        text_bytes: Size of the rules file.
+        document_bytes: Size of the encoded document in the store and on links.
+        compile_ms: Processor time to decode and compile the document.
+        epoch_ms: Processor time to create an epoch from the compiled rules and
+            to locate one flow of each service in it.
+        memory_bytes: Memory of the compiled rules and one epoch.
     """
 
     lines: int
@@ -84,11 +85,11 @@
 
 
 class UnitCost(typing.NamedTuple):
-    """What one more of something costs.
+    """The cost of one more flow, target or VM.
 
     Attributes:
-        what: One more of what, and in which unit it is counted.
-        value: The cost.
+        what: Name of the cost, with its unit.
+        value: The cost in this unit.
     """
 
     what: str
@@ -96,13 +97,19 @@
 
 
 def measure_fleet(vms: int, seed: int = 1) -> FleetPoint:
-    """Measure a fleet at rest, with two services of ten targets."""
+    """Measure an idle fleet with two services and ten targets.
+
+    Args:
+        vms: Entry VMs.
+        seed: Seed of every random choice.
+    """
     fleet = virtual_fleet.VirtualFleet(vms, ZONES, seed)
     text = virtual_fleet.rules_text(2, 10, ZONES)
     fleet.put_rules(virtual_fleet.document(1, text))
     fleet.run_until(fleet.ready, READY_TIMEOUT_MS)
     ready_ms = fleet.now_ms - virtual_fleet.START_MS
-    # After a cold start every VM passes on the news of every other one.
+    # After a cold start every VM disseminates the update of every other VM. The
+    # wait grows with the fleet so that this traffic isn't measured.
     fleet.run(SETTLE_MS + vms * DISSEMINATION_MS_PER_VM)
     _load_targets(fleet)
     before, sizes_before = fleet.traffic(), _heartbeat_bytes(fleet)
@@ -129,8 +136,8 @@
 
 
 def _load_targets(fleet: virtual_fleet.VirtualFleet) -> None:
-    # A home reports the targets on which it has flows. One flow per target at
-    # each VM makes every report whole.
+    # A home reports only targets on which it has flows. With one flow per target
+    # at each VM, every report covers all targets.
     for index, vm in enumerate(fleet.vms):
         current = vm.engine.keeper.current
         assert current is not None
@@ -156,21 +163,21 @@
 
 
 def measure_rules(lines: int) -> RulesPoint:
-    """Measure rules with a number of lines."""
+    """Measure a generated rules file with the given number of lines."""
     services = max(1, round(lines * SERVICE_LINE_SHARE))
     text = virtual_fleet.rules_text(services, lines - services, ZONES)
     document = virtual_fleet.document(1, text)
     value = config.encode(document)
     gc.collect()
     tracemalloc.start()
-    kept = _compiled(document)
+    made = _compiled(document)
     memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     before_ns = time.thread_time_ns()
     compiled = config.Config(config.decode(value))
     compile_ns = time.thread_time_ns() - before_ns
     before_ns = time.thread_time_ns()
-    _look_up(epoch.Epoch(compiled, kept.members.values()))
+    _locate_flows(epoch.Epoch(compiled, made.members.values()))
     epoch_ns = time.thread_time_ns() - before_ns
     return RulesPoint(
         lines,
@@ -184,11 +191,11 @@
 
 def _compiled(document: config.Document) -> epoch.Epoch:
     made = epoch.Epoch(config.Config(document), _members(8))
-    _look_up(made)
+    _locate_flows(made)
     return made
 
 
-def _look_up(current: epoch.Epoch) -> None:
+def _locate_flows(current: epoch.Epoch) -> None:
     for item in current.config.services.values():
         current.locate(packet_path.flow_key(1, item.address), item)
 
@@ -210,7 +217,7 @@
 
 
 def measure_units() -> list[UnitCost]:
-    """Measure the costs that grow by one flow, target or VM."""
+    """Measure the costs of one more flow, target or VM."""
     text = virtual_fleet.rules_text(2, 10, ZONES)
     compiled = config.Config(virtual_fleet.document(1, text))
     chosen = next(iter(compiled.targets.values()))
@@ -218,7 +225,7 @@
         UnitCost("record_bytes", _record_bytes(chosen)),
         UnitCost("hint_bytes", _hint_bytes(chosen)),
         UnitCost("member_bytes", _member_bytes()),
-        UnitCost("news_bytes", _news_bytes()),
+        UnitCost("news_bytes", _update_bytes()),
         UnitCost("in_force_bytes", _in_force_bytes()),
         UnitCost("rehome_us_per_flow", _rehome_us(chosen)),
         *_report_units(),
@@ -233,7 +240,7 @@
             table.add(key, _record(chosen, 1000))
         return table
 
-    return _memory(build) / SAMPLE_FLOWS
+    return _memory_bytes(build) / SAMPLE_FLOWS
 
 
 def _hint_bytes(chosen: target.Target) -> float:
@@ -243,15 +250,15 @@
             table.learn(1000, packet_path.flow_key(number, chosen.endpoint), chosen)
         return table
 
-    return _memory(build) / SAMPLE_FLOWS
+    return _memory_bytes(build) / SAMPLE_FLOWS
 
 
 def _member_bytes() -> float:
     count = 2000
-    return _memory(lambda: {item.name: item for item in _members(count)}) / count
+    return _memory_bytes(lambda: {item.name: item for item in _members(count)}) / count
 
 
-def _news_bytes() -> float:
+def _update_bytes() -> float:
     one, two = _members(2)
     bare = len(wire.encode(wire.Ping(1, one, 1, ())))
     return len(wire.encode(wire.Ping(1, one, 1, (two,)))) - bare
@@ -263,7 +270,7 @@
     return len(json.dumps(entries)) / count
 
 
-def _memory(build: typing.Callable[[], object]) -> int:
+def _memory_bytes(build: typing.Callable[[], object]) -> int:
     gc.collect()
     tracemalloc.start()
     kept = build()
@@ -278,8 +285,8 @@
     text = virtual_fleet.rules_text(2, 10, ZONES[:1])
     fleet.put_rules(virtual_fleet.document(1, text))
     fleet.run_until(fleet.ready, READY_TIMEOUT_MS)
-    runs = fleet.vms[0].engine
-    current = runs.tables.epochs.current
+    engine = fleet.vms[0].engine
+    current = engine.tables.epochs.current
     assert current is not None
     owner = current.config.services["s0"]
     now_ms = round(fleet.now_ms)
@@ -287,12 +294,12 @@
         key = packet_path.flow_key(number, owner.address)
         place = current.locate(key, owner)
         if place.home == fleet.vms[0].me.name and place.default is not None:
-            runs.tables.flows.add(key, _record(place.default, now_ms))
-    flows = len(runs.tables.flows)
+            engine.tables.flows.add(key, _record(place.default, now_ms))
+    flows = len(engine.tables.flows)
     before_ns = time.thread_time_ns()
-    runs.rehomer.start()
+    engine.rehomer.start()
     for _ in range(flows // 1000 + 1):
-        runs.rehomer.step(now_ms)
+        engine.rehomer.step(now_ms)
     return (time.thread_time_ns() - before_ns) / 1000 / flows
 
 
@@ -303,20 +310,21 @@
     )
     report = wire.LoadReport(entries)
     payload = wire.encode(report)
-    book = load.LoadTracker()
-    encode_us = _us(lambda: wire.encode(report))
-    decode_us = _us(lambda: wire.decode(payload))
-    take_us = _us(lambda: book.record(0, "vm1", report))
+    tracker = load.LoadTracker()
+    encode_us = _median_us(lambda: wire.encode(report))
+    decode_us = _median_us(lambda: wire.decode(payload))
+    record_us = _median_us(lambda: tracker.record(0, "vm1", report))
     return [
         UnitCost("report_bytes_per_target", len(payload) / count),
         UnitCost("report_encode_us_per_target", encode_us / count),
-        UnitCost("report_take_us_per_target", (decode_us + take_us) / count),
+        UnitCost("report_take_us_per_target", (decode_us + record_us) / count),
     ]
 
 
 def _open_us(fleet: virtual_fleet.VirtualFleet) -> float:
-    # At a fleet at rest no former epoch is asked, and the owners of the slots
-    # are worked out as the flows come.
+    # In an idle fleet the home does not ask homes of earlier epochs about a new
+    # flow. Owners of slots are computed when the first flow needs them, so the
+    # measured time includes this.
     vm = fleet.vms[0]
     current = vm.engine.tables.epochs.current
     assert current is not None
@@ -333,7 +341,7 @@
     return (time.thread_time_ns() - before_ns) / 1000 / len(events)
 
 
-def _us(work: typing.Callable[[], object]) -> float:
+def _median_us(work: typing.Callable[[], object]) -> float:
     samples = []
     for _ in range(_ROUNDS):
         before_ns = time.thread_time_ns()
@@ -343,7 +351,7 @@
 
 
 def fit_line(points: typing.Sequence[tuple[float, float]]) -> tuple[float, float]:
-    """Return base and slope of the least-squares line through points."""
+    """Return intercept and slope of the least-squares line through (x, y) points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
--- a/eelgrasswick/trials/capacity_table.py
+++ b/eelgrasswick/trials/capacity_table.py
@@ -1,4 +1,4 @@
-"""What each role costs at the size to design for, worked out from slopes."""
+"""Cost of each role at the design size, extrapolated from measured slopes."""
 
 import typing
 
@@ -16,11 +16,11 @@
 STORE_CALLS_PER_REPORT: typing.Final = 2
 ANSWERS_PER_FLOW_PER_S: typing.Final = 1.0
 HINT_TTL_S: typing.Final = 10.0
-_STEPS: typing.Final = 60
+_BISECTION_STEPS: typing.Final = 60
 
 
 class Size(typing.NamedTuple):
-    """A size to design for.
+    """Size of a fleet and of its load.
 
     Attributes:
         vms: Entry VMs.
@@ -45,7 +45,7 @@
     restarts_per_day: float
 
     def scaled(self, factor: float) -> "Size":
-        """Return a smaller or larger fleet that does the same per VM."""
+        """Return a fleet scaled by a factor, with the same load per VM."""
         return Size(
             self.vms * factor,
             self.targets * factor,
@@ -65,28 +65,38 @@
 
 
 class Slopes(typing.NamedTuple):
-    """What was measured; units as the names say.
+    """Measured unit costs and growth rates, from which costs are extrapolated.
 
     Attributes:
-        heartbeat_bytes_per_s: Sent per VM, whatever the size of the fleet.
-        news_bytes: One VM's entry in a heartbeat.
-        cpu_base: Share of a core of an engine at rest.
-        cpu_per_vm: Further share of a core per VM in the fleet.
-        report_bytes_per_target: In a LoadReport.
-        report_encode_us_per_target: For each receiver.
-        report_take_us_per_target: For each sender.
-        record_bytes: One flow at its home.
-        hint_bytes: One hint.
-        rehome_us_per_flow: One scan after a change of epoch.
-        open_us: Opening one flow, without the share that grows.
-        open_us_per_vm: Further time per VM in the fleet.
-        compile_us_per_line: Reading and compiling the rules.
-        epoch_us_per_line: Making an epoch and looking every service up.
-        document_bytes_per_line: As the store and the links carry it.
-        config_bytes_per_line: Compiled, in memory.
-        member_bytes: One VM in another one's view.
-        store_calls_per_zone_s: Calls of the watchers and reports.
-        in_force_bytes: One VM's entry in its zone's report.
+        heartbeat_bytes_per_s: Heartbeat bytes sent per VM; independent of the
+            size of the fleet.
+        news_bytes: Bytes of one member update in a heartbeat.
+        cpu_base: Processor time of an idle engine, as a share of a core.
+        cpu_per_vm: Additional share of a core per VM in the fleet.
+        report_bytes_per_target: Bytes per target in a LoadReport.
+        report_encode_us_per_target: Processor time per target to encode a
+            LoadReport for one receiver.
+        report_take_us_per_target: Processor time per target to decode and
+            record the LoadReport of one sender.
+        record_bytes: Memory of one flow record at the flow's home.
+        hint_bytes: Memory of one hint.
+        rehome_us_per_flow: Processor time per flow of one scan after a change
+            of epoch.
+        open_us: Processor time to open one flow, without the part that grows
+            with the fleet.
+        open_us_per_vm: Additional processor time to open one flow, per VM in
+            the fleet.
+        compile_us_per_line: Processor time per line to decode and compile the
+            rules.
+        epoch_us_per_line: Processor time per line to create an epoch and to
+            locate one flow of every service.
+        document_bytes_per_line: Size per line of the encoded document in the
+            store and on links.
+        config_bytes_per_line: Memory per line of the compiled rules.
+        member_bytes: Memory of one VM's record in another VM's membership.
+        store_calls_per_zone_s: Store calls per second of the watchers and
+            reports of one zone.
+        in_force_bytes: Size of one VM's entry in its zone's in-force report.
     """
 
     heartbeat_bytes_per_s: float
@@ -111,11 +121,11 @@
 
 
 class Budget(typing.NamedTuple):
-    """A limit, with its unit.
+    """A limit on one resource.
 
     Attributes:
-        unit: Unit of the value.
-        limit: Most that a node or the platform may spend.
+        unit: Unit of the limit.
+        limit: Largest amount that a node or the platform may spend.
     """
 
     unit: str
@@ -131,13 +141,14 @@
 
 
 class Cost(typing.NamedTuple):
-    """One resource that one role spends by one mechanism.
+    """Consumption of one resource by one mechanism of one role.
 
     Attributes:
-        role: What the process does.
-        mechanism: What carries it today.
-        budget: The limit that it must meet.
-        at: Gives the value at a size.
+        role: Role of the process that spends the resource.
+        mechanism: Mechanism that spends the resource in the present design.
+        budget: Limit on the resource.
+        at: Function that returns the consumption at a size, in the budget's
+            unit.
     """
 
     role: str
@@ -147,17 +158,19 @@
 
 
 class Row(typing.NamedTuple):
-    """One line of the table.
+    """One line of the capacity table.
 
     Attributes:
-        role: What the process does.
-        mechanism: What carries it today.
-        value: Cost at the size to design for.
+        role: Role of the process that spends the resource.
+        mechanism: Mechanism that spends the resource in the present design.
+        value: Consumption at the design size.
         unit: Unit of value and limit.
         limit: The whole budget of a node, or of the platform.
-        verdict: Whether this cost alone is within it.
-        over_from_vms: Size of a fleet, all else in proportion, from which
-            this cost alone is over; 0 when it is within at the full size.
+        verdict: ``within`` or ``over``: whether this cost alone exceeds the
+            limit.
+        over_from_vms: Smallest fleet, with all else in proportion, at which
+            this cost alone exceeds the limit; 0 when it is within the limit at
+            the full size.
     """
 
     role: str
@@ -170,15 +183,20 @@
 
 
 def table(slopes: Slopes, size: Size = DESIGN_SIZE) -> list[Row]:
-    """Return one row for each cost."""
-    found = costs(slopes)
-    wholes = [
-        _whole(found, budget) for budget in (CONTROL_BUDGET, CPU_BUDGET, MEMORY_BUDGET)
+    """Return one row for each cost, then the total for each budget of a node.
+
+    Args:
+        slopes: Measured unit costs and growth rates.
+        size: Size at which the costs are evaluated.
+    """
+    parts = costs(slopes)
+    totals = [
+        _total(parts, budget) for budget in (CONTROL_BUDGET, CPU_BUDGET, MEMORY_BUDGET)
     ]
-    return [_row(item, size) for item in (*found, *wholes)]
+    return [_row(item, size) for item in (*parts, *totals)]
 
 
-def _whole(parts: typing.Sequence[Cost], budget: Budget) -> Cost:
+def _total(parts: typing.Sequence[Cost], budget: Budget) -> Cost:
     chosen = [item.at for item in parts if item.budget is budget]
     return Cost(
         "node", "all of these", budget, lambda size: sum(at(size) for at in chosen)
@@ -186,7 +204,7 @@
 
 
 def costs(slopes: Slopes) -> list[Cost]:
-    """Return every cost as a function of the size."""
+    """Return the costs of all roles, each as a function of the size."""
     return [
         *_member_costs(slopes),
         *_home_costs(slopes),
@@ -196,7 +214,7 @@
 
 
 def _member_costs(slopes: Slopes) -> list[Cost]:
-    def news(size: Size) -> float:
+    def update_bytes(size: Size) -> float:
         events = size.restarts_per_day * UPDATES_PER_RESTART
         events += size.failures_per_day * UPDATES_PER_FAILURE
         sends = gossip.RETRANSMIT_FACTOR * int(size.vms + 2).bit_length()
@@ -212,7 +230,12 @@
             CONTROL_BUDGET,
             lambda size: slopes.heartbeat_bytes_per_s,
         ),
-        Cost("member", "news of a day's churn on heartbeats", CONTROL_BUDGET, news),
+        Cost(
+            "member",
+            "news of a day's churn on heartbeats",
+            CONTROL_BUDGET,
+            update_bytes,
+        ),
         Cost("member", "ticks, heartbeats and reports of 10 targets", CPU_BUDGET, cpu),
         Cost(
             "member",
@@ -259,19 +282,25 @@
             "entry",
             "hints, one answer per flow and second",
             MEMORY_BUDGET,
-            lambda size: _hints(size) * slopes.hint_bytes / 1e6,
+            lambda size: _hints_per_vm(size) * slopes.hint_bytes / 1e6,
         ),
     ]
 
 
-def _hints(size: Size) -> float:
+def _hints_per_vm(size: Size) -> float:
     answers = ANSWERS_PER_FLOW_PER_S * HINT_TTL_S
-    each = size.vms * (1 - (1 - 1 / max(2.0, size.vms)) ** answers)
-    return size.flows * each / size.vms
+    # Each answer passes a random VM, which then holds a hint. The expression is
+    # the expected number of distinct VMs.
+    hints_per_flow = size.vms * (1 - (1 - 1 / max(2.0, size.vms)) ** answers)
+    return size.flows * hints_per_flow / size.vms
 
 
 def epochs_per_s(size: Size) -> float:
-    """Return how often homes or rules change, per second."""
+    """Return the number of new epochs per second.
+
+    An epoch begins when the rules change or when a VM joins or leaves, because
+    either can move the homes of flows.
+    """
     events = size.changes_per_day
     events += size.restarts_per_day * EPOCHS_PER_RESTART
     events += size.failures_per_day * EPOCHS_PER_FAILURE
@@ -357,13 +386,13 @@
         item.budget.unit,
         item.budget.limit,
         "over" if over else "within",
-        _over_from(item, size) if over else 0,
+        _vms_at_limit(item, size) if over else 0,
     )
 
 
-def _over_from(item: Cost, size: Size) -> int:
+def _vms_at_limit(item: Cost, size: Size) -> int:
     low, high = 0.0, 1.0
-    for _ in range(_STEPS):
+    for _ in range(_BISECTION_STEPS):
         middle = (low + high) / 2
         if item.at(size.scaled(max(middle, 1e-6))) > item.budget.limit:
             high = middle
--- a/eelgrasswick/trials/packet_cost.py
+++ b/eelgrasswick/trials/packet_cost.py
@@ -1,8 +1,9 @@
-"""What one packet costs, next to the floor of a bare Twisted UDP echo.
+"""Processor time per packet, compared with a minimal Twisted UDP echo server.
 
-The engine is timed on its own, then inside the daemon on loopback sockets.
-Sending the packets and reading what comes out are left out of the time; the
-reactor's turns are in it, for the daemon as for the echo.
+The command times the engine on its own, then the daemon, which contains an
+engine, on loopback sockets. Sending the packets to the daemon and reading its
+output are not timed. Iterations of the reactor are timed, both for the daemon
+and for the echo server.
 """
 
 import cProfile
@@ -29,19 +30,20 @@
 READY_TIMEOUT_MS: typing.Final = 10_000.0
 SETTLE_MS: typing.Final = 7000.0
 FABRIC_ADDRESS: typing.Final = "10.255.0.1:6080"
-_TOP: typing.Final = 12
+_PROFILE_LINES: typing.Final = 12
 
 
 class Cost(typing.NamedTuple):
-    """Microseconds per packet on one path.
+    """Microseconds of processor time per packet on one path.
 
     Attributes:
-        path: Which way the packet goes.
-        parse_us: In the codec.
-        decide_us: In the engine without the codec.
-        send_us: Receiving, sending and the reactor's turns.
-        total_us: The whole daemon.
-        floor_us: A bare Twisted UDP echo of the same size.
+        path: Name of the path of the packet through the VM.
+        parse_us: Time in the codec.
+        decide_us: Time in the engine without the codec.
+        send_us: Time for receiving, sending and iterations of the reactor.
+        total_us: Time in the whole daemon.
+        floor_us: Time of a Twisted UDP echo server for a packet of the same
+            size.
         ratio: ``total_us`` over ``floor_us``.
     """
 
@@ -64,7 +66,7 @@
     ] = False
 
     def __call__(self) -> None:
-        """Print one line per path."""
+        """Print one line, or with ``--profile`` one profile, per path."""
         if self.profile:
             bench = EngineBench()
             for path in bench.paths():
@@ -75,12 +77,12 @@
 
 
 def measure() -> typing.Iterator[Cost]:
-    """Time every path in the engine and in the daemon."""
+    """Measure and yield the cost of each path, in the engine and in the daemon."""
     bench = EngineBench()
     sockets = packet_socket.SocketBench()
     pairs = zip(bench.paths(), sockets.paths(), strict=True)
-    for path, same in pairs:
-        timing = sockets.time(same, bench.stages(path))
+    for path, socket_path in pairs:
+        timing = sockets.time(socket_path, bench.stages(path))
         parse_us, engine_us = timing.stages_us
         yield Cost(
             path.name,
@@ -97,17 +99,17 @@
     """Two engines in virtual time; the first one is measured."""
 
     def __init__(self) -> None:
-        """Start the engines and wait until both serve."""
+        """Start two engines and wait until both serve."""
         self._codec = packet.FouCodec()
         self._fleet = virtual_fleet.VirtualFleet(2, ("z1",), seed=1)
         text = virtual_fleet.rules_text(2, 10, ("z1",))
         self._fleet.put_rules(virtual_fleet.document(1, text))
         self._fleet.run_until(self._fleet.ready, READY_TIMEOUT_MS)
-        # While the epochs of the start are fresh, a new flow would be asked
-        # for at former homes.
+        # For a few seconds after a change of epoch, a home asks the homes of
+        # earlier epochs about each new flow. Such inquiries aren't measured.
         self._fleet.run(SETTLE_MS)
         self._vm = self._fleet.vms[0]
-        self._other = self._fleet.vms[1]
+        self._peer = self._fleet.vms[1]
 
     def paths(self) -> list[packet_path.Path]:
         """Return the paths through the measured engine."""
@@ -115,15 +117,15 @@
         assert current is not None
         owner = current.config.services["s0"]
         return packet_path.build_paths(
-            current, owner, self._vm.me.name, self._other.me.name
+            current, owner, self._vm.me.name, self._peer.me.name
         )
 
     def count(self, counter: message.Counter) -> int:
-        """Return a count of the measured engine."""
+        """Return the value of a counter of the measured engine."""
         return self._vm.engine.outbox.counts[counter]
 
     def stages(self, path: packet_path.Path) -> list[packet_socket.Stage]:
-        """Return the codec and the whole engine as stages to time."""
+        """Return two stages to time: the codec, then the whole engine."""
         events = self.events(path)
 
         def parse(start: int, end: int) -> None:
@@ -133,12 +135,12 @@
         return [parse, lambda start, end: self.feed(events[start:end])]
 
     def profile(self, path: packet_path.Path) -> str:
-        """Return the functions in which one path spends its time."""
-        watch = cProfile.Profile()
-        watch.runcall(self.feed, self.events(path))
+        """Return a profile of one path: the functions that take the most time."""
+        profiler = cProfile.Profile()
+        profiler.runcall(self.feed, self.events(path))
         text = io.StringIO()
-        stats = pstats.Stats(watch, stream=text)
-        stats.strip_dirs().sort_stats("tottime").print_stats(_TOP)
+        stats = pstats.Stats(profiler, stream=text)
+        stats.strip_dirs().sort_stats("tottime").print_stats(_PROFILE_LINES)
         return f"path={path.name}\n{text.getvalue()}"
 
     def feed(self, events: typing.Sequence[message.Event]) -> None:
@@ -148,9 +150,9 @@
             self._vm.engine.feed(now_ms, event)
 
     def events(self, path: packet_path.Path) -> list[message.Event]:
-        """Return the events that hand a path's packets to the engine."""
+        """Return the input events that carry a path's packets to the engine."""
         fabric = packet.address(FABRIC_ADDRESS)
-        other = peer.address_of(self._other.me)
+        sender = peer.address_of(self._peer.me)
         match path.sender:
             case packet_path.Sender.FABRIC:
                 return [message.FabricDatagram(fabric, raw) for raw in path.packets]
@@ -159,6 +161,6 @@
                 return [message.FabricDatagram(source, raw) for source, raw in pairs]
             case packet_path.Sender.PEER:
                 return [
-                    message.PeerDatagram(other, wire.encode(wire.Forward(1, raw)))
+                    message.PeerDatagram(sender, wire.encode(wire.Forward(1, raw)))
                     for raw in path.packets
                 ]
--- a/eelgrasswick/trials/packet_path.py
+++ b/eelgrasswick/trials/packet_path.py
@@ -1,4 +1,4 @@
-"""The ways a packet can take through an entry VM, as input for measurements."""
+"""Packets for each path through an entry VM, as input for measurements."""
 
 import enum
 import typing
@@ -12,11 +12,11 @@
 FLOWS_PER_PATH: typing.Final = 600
 REQUEST_BYTES: typing.Final = 200
 ANSWER_BYTES: typing.Final = 1200
-_SEARCH: typing.Final = 20_000
+_MAX_CANDIDATES: typing.Final = 20_000
 
 
 class Sender(enum.Enum):
-    """Who hands the packet to the VM."""
+    """The network or process from which the VM receives a packet."""
 
     FABRIC = "fabric"
     PEER = "peer"
@@ -24,14 +24,16 @@
 
 
 class Path(typing.NamedTuple):
-    """Packets that all go the same way, one per flow.
+    """Packets that take the same path through the VM, one per flow.
 
     Attributes:
         name: Name of the path.
-        sender: Who hands them to the VM.
+        sender: Where the VM receives the packets from.
         packets: The IPv4 packets.
-        sources: Outer source of each when a target sends it, else empty.
-        once: True when sending them again would be another path.
+        sources: Outer source address of each packet when a target sends it,
+            else empty.
+        send_once: True when the same packets take another path if they are
+            sent again.
     """
 
     name: str
@@ -42,20 +44,21 @@
 
 
 def build_paths(
-    current: epoch.Epoch, owner: service.Service, me: str, other: str
+    current: epoch.Epoch, owner: service.Service, vm: str, peer: str
 ) -> list[Path]:
-    """Return the paths, in an order in which each finds what it needs.
+    """Return the paths, to be measured in this order.
 
-    Hints exist after the answers, so packets that must not find one come first.
+    Each path relies on state that earlier paths create. Answers of targets
+    create hints, so paths that must not find a hint come before them.
 
     Args:
         current: Epoch in force at the measured VM.
         owner: Service of all flows.
-        me: Name of the measured VM.
-        other: Name of another VM that is a home too.
+        vm: Name of the measured VM.
+        peer: Name of another VM that is also a home.
     """
-    own = _flows(current, owner, me)
-    foreign = _flows(current, owner, other)
+    own = _flows(current, owner, vm)
+    foreign = _flows(current, owner, peer)
     opening = [request_packet(key, packet.Flags.SYN, 0) for key in own]
     data = [request_packet(key, packet.Flags.ACK, REQUEST_BYTES) for key in own]
     elsewhere = [
@@ -74,20 +77,36 @@
 
 
 def flow_key(number: int, address: packet.Address) -> packet.FlowKey:
-    """Return the flow with a number to a service's address."""
+    """Return the key of a flow to an address; each number has its own caller.
+
+    Args:
+        number: Number of the flow; keys repeat after 65,536 numbers.
+        address: Address of the service.
+    """
     caller = packet.Address(bytes((10, 9, number >> 8 & 255, number & 255)), 40000)
     return packet.FlowKey(packet.Protocol.TCP, *caller, *address)
 
 
 def request_packet(key: packet.FlowKey, flags: int, size_bytes: int) -> bytes:
-    """Return a caller's packet of a flow."""
+    """Return a TCP packet from a flow's caller, with a payload of zeros.
+
+    Args:
+        key: Key of the flow.
+        flags: TCP flags.
+        size_bytes: Size of the payload.
+    """
     caller = packet.Address(key.caller_ip, key.caller_port)
     address = packet.Address(key.service_ip, key.service_port)
     return packet.build_tcp(caller, address, flags, 1, 1, bytes(size_bytes))
 
 
 def answer_packet(key: packet.FlowKey, size_bytes: int) -> bytes:
-    """Return a target's packet of a flow."""
+    """Return a TCP packet from a flow's target, with a payload of zeros.
+
+    Args:
+        key: Key of the flow.
+        size_bytes: Size of the payload.
+    """
     caller = packet.Address(key.caller_ip, key.caller_port)
     address = packet.Address(key.service_ip, key.service_port)
     return packet.build_tcp(address, caller, packet.Flags.ACK, 1, 1, bytes(size_bytes))
@@ -104,6 +123,6 @@
 def _flows(
     current: epoch.Epoch, owner: service.Service, home: str
 ) -> list[packet.FlowKey]:
-    candidates = (flow_key(number, owner.address) for number in range(_SEARCH))
+    candidates = (flow_key(number, owner.address) for number in range(_MAX_CANDIDATES))
     found = (key for key in candidates if current.locate(key, owner).home == home)
     return [key for key, _ in zip(found, range(FLOWS_PER_PATH), strict=False)]
--- a/eelgrasswick/trials/packet_socket.py
+++ b/eelgrasswick/trials/packet_socket.py
@@ -1,4 +1,4 @@
-"""A daemon and a bare echo on loopback, to time packets through sockets."""
+"""A daemon and a UDP echo server on loopback, to time packets through sockets."""
 
 import random
 import socket
@@ -36,25 +36,25 @@
 ZONE: typing.Final = "z1"
 VM_NAME: typing.Final = "vm1"
 PEER_NAME: typing.Final = "vm2"
-_IP: typing.Final = "127.3.200.1"
-_OTHER_IP: typing.Final = "127.3.200.2"
-_FABRIC: typing.Final = "127.3.201.1:6080"
-_ECHO: typing.Final = ("127.3.203.1", 6080)
-_TARGETS: typing.Final = "127.3.202."
-_GIVE_UP_S: typing.Final = 0.5
+_VM_IP: typing.Final = "127.3.200.1"
+_PEER_IP: typing.Final = "127.3.200.2"
+_FABRIC_ADDRESS: typing.Final = "127.3.201.1:6080"
+_ECHO_ADDRESS: typing.Final = ("127.3.203.1", 6080)
+_TARGET_IP_PREFIX: typing.Final = "127.3.202."
+_BATCH_TIMEOUT_S: typing.Final = 0.5
 
 
-# A stage handles the packets from one index up to another.
+# A stage processes the packets from a first index up to, not including, a second.
 Stage = typing.Callable[[int, int], object]
 
 
 class Timing(typing.NamedTuple):
-    """Microseconds per packet, as medians over batches.
+    """Microseconds of processor time per packet, as medians over batches.
 
     Attributes:
-        daemon_us: Through the daemon.
-        floor_us: Through the echo.
-        stages_us: Through each stage that was asked for.
+        daemon_us: Time in the daemon.
+        floor_us: Time in the echo server.
+        stages_us: Time in each of the requested stages.
     """
 
     daemon_us: float
@@ -62,8 +62,11 @@
     stages_us: tuple[float, ...]
 
 
-class _Echo(protocol.DatagramProtocol):
-    """The floor: a Twisted UDP socket that sends back what it gets."""
+class _EchoServer(protocol.DatagramProtocol):
+    """A Twisted UDP server that returns each datagram to its sender.
+
+    Its cost per packet is the floor for a program that uses Twisted.
+    """
 
     handled = 0
 
@@ -73,20 +76,24 @@
 
 
 class SocketBench:
-    """A daemon, an echo and the sockets of their surroundings in one process."""
+    """A daemon, an echo server and their peers' sockets in one process."""
 
     def __init__(self) -> None:
-        """Start the daemon and the echo, and wait until the daemon serves."""
+        """Start the daemon and the echo server; wait until the daemon serves.
+
+        Raises:
+            TimeoutError: The daemon doesn't serve in time.
+        """
         self._reactor = typing.cast(typing.Any, default_reactor)
-        self._echo = _Echo()
-        self._reactor.listenUDP(_ECHO[1], self._echo, _ECHO[0], 65536)
-        self._fabric = _socket(packet.address(_FABRIC))
-        self._other = _socket(packet.address(f"{_OTHER_IP}:6081"))
+        self._echo = _EchoServer()
+        self._reactor.listenUDP(_ECHO_ADDRESS[1], self._echo, _ECHO_ADDRESS[0], 65536)
+        self._fabric = _socket(packet.address(_FABRIC_ADDRESS))
+        self._peer = _socket(packet.address(f"{_PEER_IP}:6081"))
         self._engine = self._start_daemon()
         self._reactor.startRunning(installSignalHandlers=False)
-        self._await(lambda: self._engine.membership.me.serves)
-        self._greet()
-        self._await(lambda: len(self._epoch.members) == 2)
+        self._wait_until(lambda: self._engine.membership.me.serves)
+        self._exchange_heartbeats()
+        self._wait_until(lambda: len(self._epoch.members) == 2)
         self._settle()
         current = self._engine.tables.epochs.current
         assert current is not None
@@ -105,14 +112,15 @@
         return packet_path.build_paths(self._epoch, owner, VM_NAME, PEER_NAME)
 
     def time(self, path: packet_path.Path, stages: typing.Sequence[Stage]) -> Timing:
-        """Time the daemon, the echo and some stages in turns.
+        """Time the daemon, the echo server and further stages in alternation.
 
-        A shared machine changes its pace within seconds. Timed one after the
-        other, a stage could seem to cost more than the whole.
+        The speed of a shared machine changes within seconds. If each were timed
+        in one piece, a stage could appear to cost more than the whole daemon.
 
         Args:
-            path: What to send to the daemon; the echo gets the same sizes.
-            stages: What else to time on the same packets.
+            path: Packets to send to the daemon; the echo server receives
+                datagrams of the same sizes.
+            stages: Further stages to time on the same packets.
         """
         counts = self._engine.outbox.counts
         request = message.Counter.PACKETS_REQUEST
@@ -123,7 +131,9 @@
         for _ in range(1 if path.send_once else ROUNDS):
             for start in range(0, len(path.packets), BATCH_PACKETS):
                 daemon_us.append(
-                    self._batch(path, start, lambda: counts[request] + counts[answer])
+                    self._daemon_batch(
+                        path, start, lambda: counts[request] + counts[answer]
+                    )
                 )
                 floor_us.append(self._echo_batch(len(path.packets[start])))
                 for stage, samples in zip(stages, stages_us, strict=True):
@@ -136,86 +146,93 @@
 
     def _echo_batch(self, size_bytes: int) -> float:
         for _ in range(BATCH_PACKETS):
-            self._fabric.sendto(bytes(size_bytes), _ECHO)
-        taken_us = self._drain(BATCH_PACKETS, lambda: self._echo.handled)
-        _empty(self._fabric)
-        return taken_us
+            self._fabric.sendto(bytes(size_bytes), _ECHO_ADDRESS)
+        elapsed_us = self._time_until_handled(BATCH_PACKETS, lambda: self._echo.handled)
+        _discard_received(self._fabric)
+        return elapsed_us
 
     def _settle(self) -> None:
-        # While the epochs of the start are fresh, a new flow would be asked
-        # for at former homes.
+        # For a few seconds after a change of epoch, a home asks the homes of
+        # earlier epochs about each new flow. Such inquiries aren't measured.
         until_s = time.monotonic() + SETTLE_S
         while time.monotonic() < until_s:
-            self._greet()
+            self._exchange_heartbeats()
             self._reactor.iterate(0.05)
 
-    def _batch(
+    def _daemon_batch(
         self, path: packet_path.Path, start: int, handled: typing.Callable[[], int]
     ) -> float:
-        self._greet()
+        self._exchange_heartbeats()
         self._reactor.iterate(0)
         self._reactor.iterate(0)
         end = min(start + BATCH_PACKETS, len(path.packets))
         for index in range(start, end):
             self._send(path, index)
-        taken_us = self._drain(end - start, handled)
+        elapsed_us = self._time_until_handled(end - start, handled)
         for item in (self._fabric, *self._targets.values()):
-            _empty(item)
-        return taken_us
+            _discard_received(item)
+        return elapsed_us
 
     def _send(self, path: packet_path.Path, index: int) -> None:
         raw = path.packets[index]
         match path.sender:
             case packet_path.Sender.FABRIC:
-                self._fabric.sendto(raw, (_IP, 6080))
+                self._fabric.sendto(raw, (_VM_IP, 6080))
             case packet_path.Sender.TARGET:
-                self._targets[path.sources[index]].sendto(raw, (_IP, 6080))
+                self._targets[path.sources[index]].sendto(raw, (_VM_IP, 6080))
             case packet_path.Sender.PEER:
-                self._other.sendto(wire.encode(wire.Forward(1, raw)), (_IP, 6081))
+                self._peer.sendto(wire.encode(wire.Forward(1, raw)), (_VM_IP, 6081))
 
-    def _drain(self, count: int, handled: typing.Callable[[], int]) -> float:
+    def _time_until_handled(
+        self, count: int, handled: typing.Callable[[], int]
+    ) -> float:
         goal = handled() + count
-        deadline_s = time.monotonic() + _GIVE_UP_S
+        deadline_s = time.monotonic() + _BATCH_TIMEOUT_S
         before_ns = time.thread_time_ns()
         while handled() < goal and time.monotonic() < deadline_s:
             self._reactor.iterate(0)
         return (time.thread_time_ns() - before_ns) / 1000 / count
 
-    def _greet(self) -> None:
-        # The other VM is a mere socket. Did it not speak and answer heartbeats,
-        # it would be taken for dead, and its flows would no longer be another
-        # VM's.
+    def _exchange_heartbeats(self) -> None:
+        # The peer is only a socket. It sends and answers heartbeats here because
+        # the daemon would otherwise mark it dead and become the home of its
+        # flows.
         state = member.MemberState.ALIVE
-        other = member.Member(PEER_NAME, ZONE, _OTHER_IP, 6081, 6082, 1, 1, state)
+        peer = member.Member(PEER_NAME, ZONE, _PEER_IP, 6081, 6082, 1, 1, state)
         sequence = self._engine.keeper.sequence
-        ping = wire.Ping(0, other, sequence, ())
-        self._other.sendto(wire.encode(ping), (_IP, 6081))
-        for payload in _received(self._other):
+        ping = wire.Ping(0, peer, sequence, ())
+        self._peer.sendto(wire.encode(ping), (_VM_IP, 6081))
+        for payload in _received(self._peer):
             item = wire.decode(payload)
             if isinstance(item, wire.Ping):
-                ack = wire.Ack(item.number, other, sequence, ())
-                self._other.sendto(wire.encode(ack), (_IP, 6081))
+                ack = wire.Ack(item.number, peer, sequence, ())
+                self._peer.sendto(wire.encode(ack), (_VM_IP, 6081))
 
     def _start_daemon(self) -> engine.Engine:
         rng = random.Random(1)
         settings = setting.read(
-            f"[vm]\nname = {VM_NAME}\nzone = {ZONE}\nip = {_IP}\n"
-            f"[fabric]\negress = {_FABRIC}\n[fleet]\nnetworks = 127.3.200.0/24\n"
+            f"[vm]\nname = {VM_NAME}\nzone = {ZONE}\nip = {_VM_IP}\n"
+            f"[fabric]\negress = {_FABRIC_ADDRESS}\n"
+            "[fleet]\nnetworks = 127.3.200.0/24\n"
             "[platform]\nurl = http://127.3.200.1:1\n[log]\ndropped_per_s = 1\n"
         )
-        runs = compose.entry_engine(settings, rng)
+        entry_engine = compose.entry_engine(settings, rng)
         platform = emulated_platform.EmulatedStore(self._reactor)
-        text = virtual_fleet.rules_text(2, 10, (ZONE,)).replace("10.1.0.", _TARGETS)
+        text = virtual_fleet.rules_text(2, 10, (ZONE,)).replace(
+            "10.1.0.", _TARGET_IP_PREFIX
+        )
         document = config.encode(virtual_fleet.document(1, text))
         platform.write((), (store.Put(store.RULES_KEY, document),))
-        daemon.Daemon(self._reactor, settings, runs, platform, None, rng).start()
-        return runs
+        daemon.Daemon(
+            self._reactor, settings, entry_engine, platform, None, rng
+        ).start()
+        return entry_engine
 
-    def _await(self, done: typing.Callable[[], bool]) -> None:
+    def _wait_until(self, done: typing.Callable[[], bool]) -> None:
         deadline_s = time.monotonic() + READY_TIMEOUT_S
         while not done():
             if time.monotonic() > deadline_s:
-                raise TimeoutError("the daemon does not get ready")
+                raise TimeoutError("the daemon did not become ready in time")
             self._reactor.iterate(0.05)
 
 
@@ -226,20 +243,20 @@
 
 
 def _socket(address: packet.Address) -> socket.socket:
-    made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    made.bind((socket.inet_ntoa(address.ip), address.port))
-    made.setblocking(False)
-    return made
+    bound = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    bound.bind((socket.inet_ntoa(address.ip), address.port))
+    bound.setblocking(False)
+    return bound
 
 
-def _received(taken: socket.socket) -> typing.Iterator[bytes]:
+def _received(source: socket.socket) -> typing.Iterator[bytes]:
     while True:
         try:
-            yield taken.recv(65536)
+            yield source.recv(65536)
         except BlockingIOError:
             return
 
 
-def _empty(taken: socket.socket) -> None:
-    for _ in _received(taken):
+def _discard_received(source: socket.socket) -> None:
+    for _ in _received(source):
         pass
--- a/eelgrasswick/trials/trial.py
+++ b/eelgrasswick/trials/trial.py
@@ -1,4 +1,4 @@
-"""The command that runs the trials on which the design rests."""
+"""The command that runs the trials from which design decisions were derived."""
 
 import abc
 import dataclasses
@@ -40,7 +40,7 @@
     seed: Seed = 1
 
     def __call__(self) -> None:
-        """Print one line for each loss and fan-out."""
+        """Print one line for each combination of loss and fan-out."""
         for loss in self.losses:
             for fan_out in self.fan_outs:
                 print_row(trial_spread.measure(self.vms, fan_out, loss, self.seed))
@@ -70,7 +70,7 @@
     seed: Seed = 1
 
     def __call__(self) -> None:
-        """Print one line for each way, or one for the engines."""
+        """Print one line for each model, or a single line for the engines."""
         load = trial_load.Load(
             self.vms,
             self.rate_per_s,
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass
 class _Loads(abc.ABC):
-    """Arguments of a trial that plays loads by name."""
+    """Arguments of a trial that runs loads selected by name."""
 
     loads: typing.Annotated[list[str], cappa.Arg(help="names of loads")]
     seed: Seed = 1
@@ -100,17 +100,17 @@
     ] = None
 
     def __call__(self) -> None:
-        """Print one line for each load and seed."""
+        """Print one line for each combination of load and seed."""
         try:
             for name in self.loads:
                 for seed in range(self.seed, self.seed + self.seeds):
-                    print_row(self._play(name, seed))
+                    print_row(self._run(name, seed))
         except errors.ScenarioInvalidError as error:
             console.fail(error)
 
     @abc.abstractmethod
-    def _play(self, name: str, seed: int) -> typing.NamedTuple:
-        """Play one load and return its row."""
+    def _run(self, name: str, seed: int) -> typing.NamedTuple:
+        """Run one load and return its row."""
 
 
 @cappa.command(
@@ -122,7 +122,7 @@
 class Steering(_Loads):
     """Arguments of ``trial steering``."""
 
-    def _play(self, name: str, seed: int) -> typing.NamedTuple:
+    def _run(self, name: str, seed: int) -> typing.NamedTuple:
         return trial_steering.play(name, seed, self.plot)
 
 
@@ -135,24 +135,27 @@
 class Overload(_Loads):
     """Arguments of ``trial overload``."""
 
-    def _play(self, name: str, seed: int) -> typing.NamedTuple:
+    def _run(self, name: str, seed: int) -> typing.NamedTuple:
         return trial_overload.play(name, seed, self.plot)
 
 
 @cappa.command(name="trial", help="run a trial in virtual time")
 @dataclasses.dataclass
 class Trial:
-    """The group of trials."""
+    """The command group of the trials."""
 
     part: cappa.Subcommands[Spread | Placement | Steering | Overload]
 
 
 def print_row(row: typing.Any) -> None:
-    """Print a named tuple as one line of key=value pairs."""
+    """Print a named tuple as one line of key=value pairs.
+
+    A value that contains a space is printed as a JSON string.
+    """
     pairs = row._asdict().items()
-    print(" ".join(f"{key}={_shown(value)}" for key, value in pairs), flush=True)
+    print(" ".join(f"{key}={_formatted(value)}" for key, value in pairs), flush=True)
 
 
-def _shown(value: object) -> str:
+def _formatted(value: object) -> str:
     text = str(value)
     return json.dumps(text) if " " in text else text
--- a/eelgrasswick/trials/trial_counts.py
+++ b/eelgrasswick/trials/trial_counts.py
@@ -1,9 +1,9 @@
-"""Open flows as the homes of the placement trial know them."""
+"""Counts of open flows as reported between the homes of the placement trial."""
 
 import collections
 import typing
 
-LOAD_REPORT_MS: typing.Final = 1000.0
+LOAD_REPORT_INTERVAL_MS: typing.Final = 1000.0
 
 
 class OpenFlowCounts:
@@ -26,7 +26,7 @@
         """Let the homes report, once a second."""
         if now_ms < self._next_ms:
             return
-        self._next_ms = now_ms + LOAD_REPORT_MS
+        self._next_ms = now_ms + LOAD_REPORT_INTERVAL_MS
         self._late_all = self.totals.copy()
         self._late_own = {home: own.copy() for home, own in self._own.items()}
 
