--- a/eelgrasswick/trials/trial_engine.py
+++ b/eelgrasswick/trials/trial_engine.py
@@ -1,8 +1,9 @@
-"""The placement trial on real engines: the design in use, in virtual time.
+"""The placement trial on real engines, with the present design, in virtual time.
 
-Callers send the next request when the last one is answered, and repeat it when
-no answer comes. Targets answer packets of flows that they hold and reset all
-others. Half-way one target drains; at three quarters one VM is killed.
+Callers send the next request when the previous one is answered, and retransmit
+a request that is not answered. Targets answer packets of flows that they
+accepted and reset all others. One target drains at half the trial's duration;
+one VM is killed at three quarters.
 """
 
 import random
@@ -25,27 +26,30 @@
 RETRANSMIT_MS: typing.Final = 400.0
 FABRIC_DETECTION_MS: typing.Final = 1000.0
 REQUEST_BYTES: typing.Final = 200
-_FABRIC: typing.Final = packet.address("10.255.0.1:6080")
+_FABRIC_ADDRESS: typing.Final = packet.address("10.255.0.1:6080")
 _TARGET_SEQUENCE: typing.Final = 1
 
 
 class Row(typing.NamedTuple):
-    """What the run came to.
+    """Results of one run.
 
     Attributes:
         vms: Entry VMs.
         flows: Flows that callers opened.
-        ended: Flows whose caller got every answer.
-        refused: Flows that were turned away before anything was sent.
-        broken: Flows that were reset.
-        doubled: Flows that two targets accepted.
-        exception_share: Part of the flows placed off their default target.
-        passes: Packets handled by VMs over packets handed to VMs.
-        control_bytes_per_flow: Exceptions' bytes sent per flow, no heartbeats.
+        ended: Flows whose caller received every answer.
+        refused: Flows that were refused before the caller sent a request.
+        broken: Flows that were reset before they ended, except for refusals.
+        doubled: Flows that more than one target accepted.
+        exception_share: Share of flows placed on another target than their
+            default target.
+        passes: Packets processed by VMs, as a multiple of the packets that
+            entered the fleet from outside.
+        control_bytes_per_flow: Control bytes sent per flow for exceptions,
+            without heartbeats.
         control_bytes_per_s: All control bytes sent per VM and second.
         engine_us_per_packet: Processor time of the engines per packet.
-        records: Flow records at the end of the load, all VMs.
-        hints: Hints at the end of the load, all VMs.
+        records: Flow records of all VMs at the end of the load.
+        hints: Hints of all VMs at the end of the load.
     """
 
     vms: int
@@ -63,8 +67,8 @@
     hints: int
 
 
-class _Call:
-    """One flow as its caller sees it."""
+class _Caller:
+    """A caller and the state of its one flow."""
 
     def __init__(self, flow: trial_load.Flow) -> None:
         self.flow = flow
@@ -79,11 +83,11 @@
         return self.step > self.steps
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         return self.ended or self.broken or self.refused
 
     def reset(self, item: packet.Packet) -> None:
-        # A reset with data is the refusal of a flow that was not placed.
+        # A reset with a payload refuses a flow that was not placed on a target.
         if self.step == 0 and item.payload_bytes:
             self.refused = True
         elif not self.ended:
@@ -92,18 +96,18 @@
     def request(self) -> bytes:
         key = self.flow.key
         if self.step == 0:
-            return _segment(key, packet.Flags.SYN, 0, 0)
+            return _caller_packet(key, packet.Flags.SYN, 0, 0)
         if self.step == self.steps:
             flags = packet.Flags.FIN | packet.Flags.ACK
-            return _segment(key, flags, self.step, 0)
-        return _segment(key, packet.Flags.ACK, self.step, REQUEST_BYTES)
+            return _caller_packet(key, flags, self.step, 0)
+        return _caller_packet(key, packet.Flags.ACK, self.step, REQUEST_BYTES)
 
 
 class EngineTrial:
-    """The fleet with its callers and targets."""
+    """A fleet of engines with its callers and targets."""
 
     def __init__(self, load: trial_load.Load) -> None:
-        """Start the fleet and put the rules in force."""
+        """Start the fleet, put the rules in force and wait until all VMs serve."""
         self._load = load
         self._rng = random.Random(load.seed)
         self._fleet = virtual_fleet.VirtualFleet(
@@ -112,10 +116,10 @@
         self._fleet.on_data = self._to_target
         self._fleet.on_fabric = self._to_caller
         self._codec = packet.FouCodec()
-        self._spread = list(self._fleet.vms)
-        self._calls: dict[packet.FlowKey, _Call] = {}
-        self._held: dict[packet.Address, set[packet.FlowKey]] = {}
-        self._handed = 0
+        self._routed_vms = list(self._fleet.vms)
+        self._callers: dict[packet.FlowKey, _Caller] = {}
+        self._accepted: dict[packet.Address, set[packet.FlowKey]] = {}
+        self._delivered = 0
         targets = trial_placement.TARGETS
         zones = trial_placement.ZONES
         self._text = virtual_fleet.rules_text(1, targets, zones)
@@ -124,25 +128,28 @@
         self._fleet.run(SETTLE_MS)
 
     def play(self) -> Row:
-        """Carry the load and return what it came to."""
+        """Run the load and return the results."""
         before = self._fleet.traffic()
         cpu_before_ns = sum(vm.cpu_ns for vm in self._fleet.vms)
         span_ms = self._load.duration_s * 1000.0
         for item in trial_load.generate_flows(self._load, warm_up=False):
-            self._fleet.later(item.at_ms, lambda item=item: self._open(item))  # type: ignore[misc]
-        self._fleet.later(span_ms / 2, self._drain)
-        self._fleet.later(span_ms * 3 / 4, self._kill)
+            self._fleet.later(item.at_ms, lambda item=item: self._open_flow(item))  # type: ignore[misc]
+        self._fleet.later(span_ms / 2, self._drain_target)
+        self._fleet.later(span_ms * 3 / 4, self._kill_vm)
         self._fleet.run(span_ms)
         after = self._fleet.traffic()
         cpu_ns = sum(vm.cpu_ns for vm in self._fleet.vms) - cpu_before_ns
         records = sum(len(vm.engine.tables.flows) for vm in self._fleet.vms)
         hints = sum(len(vm.engine.tables.hints) for vm in self._fleet.vms)
-        handled = self._handed + self._total(message.Counter.PACKETS_FORWARDED)
-        passes = handled / self._handed
-        calls = self._calls.values()
-        # A round trip lengthens each step, so a flow takes longer than planned.
-        self._fleet.run_until(lambda: all(item.over for item in calls), END_TIMEOUT_MS)
-        each_s = self._load.vms * self._load.duration_s
+        handled = self._delivered + self._total(message.Counter.PACKETS_FORWARDED)
+        passes = handled / self._delivered
+        callers = self._callers.values()
+        # Each request waits a round trip for its answer, so flows last longer
+        # than the load specifies.
+        self._fleet.run_until(
+            lambda: all(item.finished for item in callers), END_TIMEOUT_MS
+        )
+        vm_s = self._load.vms * self._load.duration_s
         placed = self._total(message.Counter.FLOWS_PLACED)
         exceptions = self._total(message.Counter.FLOWS_EXCEPTION)
         entry_bytes = (
@@ -150,15 +157,15 @@
         )
         return Row(
             self._load.vms,
-            len(calls),
-            sum(item.ended for item in calls),
-            sum(item.refused for item in calls),
-            sum(item.broken for item in calls),
-            sum(len(item.targets) > 1 for item in calls),
+            len(callers),
+            sum(item.ended for item in callers),
+            sum(item.refused for item in callers),
+            sum(item.broken for item in callers),
+            sum(len(item.targets) > 1 for item in callers),
             round(exceptions / placed, 4),
             round(passes, 3),
-            round(exceptions * entry_bytes / len(calls), 2),
-            round((after.size_bytes - before.size_bytes) / each_s),
+            round(exceptions * entry_bytes / len(callers), 2),
+            round((after.size_bytes - before.size_bytes) / vm_s),
             round(cpu_ns / 1000 / handled, 1),
             records,
             hints,
@@ -167,77 +174,77 @@
     def _total(self, counter: message.Counter) -> int:
         return sum(vm.engine.outbox.counts[counter] for vm in self._fleet.vms)
 
-    def _drain(self) -> None:
+    def _drain_target(self) -> None:
         text = f"{self._text}drain t6  # asked by a measurement\n"
         self._fleet.put_rules(virtual_fleet.document(2, text))
 
-    def _kill(self) -> None:
+    def _kill_vm(self) -> None:
         dead = self._fleet.vms[0]
         self._fleet.kill(dead)
-        self._fleet.later(FABRIC_DETECTION_MS, lambda: self._spread.remove(dead))
+        self._fleet.later(FABRIC_DETECTION_MS, lambda: self._routed_vms.remove(dead))
 
-    # Callers.
+    # Behaviour of callers.
 
-    def _open(self, item: trial_load.Flow) -> None:
-        call = _Call(item)
-        self._calls[item.key] = call
-        self._send(call, 0)
+    def _open_flow(self, item: trial_load.Flow) -> None:
+        caller = _Caller(item)
+        self._callers[item.key] = caller
+        self._send(caller, 0)
 
-    def _send(self, call: _Call, step: int) -> None:
-        if call.over or call.step != step:
+    def _send(self, caller: _Caller, step: int) -> None:
+        if caller.finished or caller.step != step:
             return
-        self._hand(_FABRIC, call.request())
-        self._fleet.later(RETRANSMIT_MS, lambda: self._send(call, step))
+        self._send_to_fleet(_FABRIC_ADDRESS, caller.request())
+        self._fleet.later(RETRANSMIT_MS, lambda: self._send(caller, step))
 
     def _to_caller(self, vm: virtual_fleet.Vm, action: message.SendFabric) -> None:
-        self._fleet.later(self._fleet.delay_ms(), lambda: self._heard(action.payload))
+        self._fleet.later(self._fleet.delay_ms(), lambda: self._receive(action.payload))
 
-    def _heard(self, payload: bytes) -> None:
+    def _receive(self, payload: bytes) -> None:
         item = self._codec.decode(payload)
-        call = self._calls[item.answer_key()]
+        caller = self._callers[item.answer_key()]
         if item.resets:
-            call.reset(item)
-        elif item.acknowledgement == call.step + 1:
-            call.step += 1
-            step = call.step
-            wait_ms = call.flow.interval_ms if 1 < step < call.steps else 0.0
-            self._fleet.later(wait_ms, lambda: self._send(call, step))
+            caller.reset(item)
+        elif item.acknowledgement == caller.step + 1:
+            caller.step += 1
+            step = caller.step
+            wait_ms = caller.flow.interval_ms if 1 < step < caller.steps else 0.0
+            self._fleet.later(wait_ms, lambda: self._send(caller, step))
 
-    # Targets.
+    # Behaviour of targets.
 
     def _to_target(self, vm: virtual_fleet.Vm, action: message.SendDatagram) -> None:
         self._fleet.later(
             self._fleet.delay_ms(),
-            lambda: self._serve(action.destination, action.payload),
+            lambda: self._answer_packet(action.destination, action.payload),
         )
 
-    def _serve(self, endpoint: packet.Address, payload: bytes) -> None:
+    def _answer_packet(self, endpoint: packet.Address, payload: bytes) -> None:
         item = self._codec.decode(payload)
         key = item.request_key()
-        held = self._held.setdefault(endpoint, set())
+        accepted = self._accepted.setdefault(endpoint, set())
         flags = packet.Flags.ACK
         if item.opens:
-            held.add(key)
-            self._calls[key].targets.add(endpoint)
+            accepted.add(key)
+            self._callers[key].targets.add(endpoint)
             flags |= packet.Flags.SYN
-        elif key not in held:
+        elif key not in accepted:
             flags = packet.Flags.RST
         elif item.finishes:
             flags |= packet.Flags.FIN
-        self._hand(endpoint, _answer(key, flags, item.sequence + 1))
+        self._send_to_fleet(endpoint, _target_packet(key, flags, item.sequence + 1))
 
-    def _hand(self, source: packet.Address, payload: bytes) -> None:
-        vm = self._rng.choice(self._spread)
+    def _send_to_fleet(self, source: packet.Address, payload: bytes) -> None:
+        vm = self._rng.choice(self._routed_vms)
         event = message.FabricDatagram(source, payload)
         self._fleet.later(self._fleet.delay_ms(), lambda: self._deliver(vm, event))
 
     def _deliver(self, vm: virtual_fleet.Vm, event: message.FabricDatagram) -> None:
-        self._handed += vm.alive
+        self._delivered += vm.alive
         self._fleet.feed(vm, event)
 
 
 def run(load: trial_load.Load) -> Row:
-    """Run the trial on engines."""
+    """Run the placement trial on engines and return its results."""
     return EngineTrial(load).play()
 
 
@@ -245,14 +252,18 @@
     return placement.BoundedHash if load.learns_capacity else virtual_fleet.ClaimedHash
 
 
-def _segment(key: packet.FlowKey, flags: int, sequence: int, size: int) -> bytes:
+def _caller_packet(
+    key: packet.FlowKey, flags: int, sequence: int, size_bytes: int
+) -> bytes:
     caller = packet.Address(key.caller_ip, key.caller_port)
     address = packet.Address(key.service_ip, key.service_port)
     acknowledged = 0 if flags == packet.Flags.SYN else _TARGET_SEQUENCE + 1
-    return packet.build_tcp(caller, address, flags, sequence, acknowledged, bytes(size))
+    return packet.build_tcp(
+        caller, address, flags, sequence, acknowledged, bytes(size_bytes)
+    )
 
 
-def _answer(key: packet.FlowKey, flags: int, acknowledgement: int) -> bytes:
+def _target_packet(key: packet.FlowKey, flags: int, acknowledgement: int) -> bytes:
     caller = packet.Address(key.caller_ip, key.caller_port)
     address = packet.Address(key.service_ip, key.service_port)
     return packet.build_tcp(address, caller, flags, _TARGET_SEQUENCE, acknowledgement)
--- a/eelgrasswick/trials/trial_overload.py
+++ b/eelgrasswick/trials/trial_overload.py
@@ -1,4 +1,4 @@
-"""Plays loads whose requests come whether or not earlier ones are answered."""
+"""Runs open loads: requests arrive whether or not earlier ones are answered."""
 
 import collections
 import pathlib
@@ -9,24 +9,27 @@
 from eelgrasswick.platform import segments
 
 BIN_MS: typing.Final = 500
-# Requests of the first seconds find empty queues, and those of the last ones may
-# still wait when the run ends. Neither counts.
+# Requests of the first two seconds are not counted because they arrive at empty
+# queues. Requests of the last 1.5 s are not counted because they may still wait
+# when the run ends.
 WARM_UP_MS: typing.Final = 2000
 COOL_DOWN_MS: typing.Final = 1500
 
 
 class Row(typing.NamedTuple):
-    """What callers got under a load.
+    """Service that callers received under a load.
 
     Attributes:
-        load: Its name.
-        seed: The seed.
-        asked: Requests that count.
-        worth: What the answers were worth, over what all in time would be.
-        best: The worth that no decider can pass while demand is steady.
-        in_time: Part answered in time.
-        served: Part answered at all.
-        by_kind: The worth of each kind of request.
+        load: Name of the load.
+        seed: Seed of all random choices.
+        asked: Number of counted requests.
+        worth: Value of the answers, as a share of the value if all requests
+            were answered in time.
+        best: Upper bound of ``worth`` for any policy while demand is steady.
+        in_time: Share of requests answered in time.
+        served: Share of requests answered at all.
+        by_kind: ``worth`` of each kind of request, as ``kind:worth`` pairs
+            separated by commas.
     """
 
     load: str
@@ -40,15 +43,15 @@
 
 
 def play(name: str, seed: int, plot: pathlib.Path | None = None) -> Row:
-    """Play one load.
+    """Run one load and return the service that callers received.
 
     Args:
         name: A key of ``open_scenario.LOADS``.
-        seed: Decides all random choices.
-        plot: Where to draw service over time; None for nowhere.
+        seed: Seed of all random choices.
+        plot: Path of a plot of service over time; None for no plot.
 
     Raises:
-        errors.ScenarioInvalidError: There is no such load.
+        errors.ScenarioInvalidError: No load has this name.
     """
     load = open_scenario.LOADS.get(name)
     if load is None:
@@ -58,7 +61,7 @@
     if plot is not None:
         _draw(load, ends, plot, f"{name}, seed {seed}")
     counted = asked_between(ends, WARM_UP_MS, load.length_ms - COOL_DOWN_MS)
-    kinds = [f"{kind.name}:{_worth_of(counted, kind):.3f}" for kind in load.kinds]
+    kinds = [f"{kind.name}:{_worth_of_kind(counted, kind):.3f}" for kind in load.kinds]
     return Row(
         name,
         seed,
@@ -71,14 +74,16 @@
     )
 
 
-def _worth_of(ends: typing.Iterable[open_load.End], kind: open_scenario.Kind) -> float:
+def _worth_of_kind(
+    ends: typing.Iterable[open_load.End], kind: open_scenario.Kind
+) -> float:
     return open_load.worth(item for item in ends if item.kind is kind)
 
 
 def asked_between(
     ends: typing.Iterable[open_load.End], from_ms: int, to_ms: int
 ) -> list[open_load.End]:
-    """Return the requests that were asked in a span of time."""
+    """Return the requests sent from one time up to, not including, another."""
     return [item for item in ends if from_ms <= item.asked_ms < to_ms]
 
 
@@ -92,16 +97,16 @@
         collections.Counter
     )
     for item in ends:
-        sort = "late"
+        outcome = "late"
         if item.took_ms is None:
-            sort = "failed"
+            outcome = "failed"
         elif item.in_time:
-            sort = "in_time"
-        counts[sort][item.asked_ms // BIN_MS] += 1
+            outcome = "in_time"
+        counts[outcome][item.asked_ms // BIN_MS] += 1
     bins = range(load.length_ms // BIN_MS)
     parts = [
-        picture.Series(sort, color, [counts[sort][number] for number in bins])
-        for sort, color in (
+        picture.Series(outcome, color, [counts[outcome][number] for number in bins])
+        for outcome, color in (
             ("in_time", "tab:green"),
             ("late", "tab:orange"),
             ("failed", "tab:red"),
--- a/eelgrasswick/trials/trial_steering.py
+++ b/eelgrasswick/trials/trial_steering.py
@@ -1,4 +1,4 @@
-"""Plays loads on flows that name their target, and draws what callers got."""
+"""Runs loads on flows whose packets name their target; plots callers' service."""
 
 import collections
 import pathlib
@@ -12,7 +12,14 @@
 
 
 class Row(typing.NamedTuple):
-    """What callers got under a load; see ``cookie_load.Result``."""
+    """Service that callers received under a load.
+
+    ``cookie_load.Result`` documents the fields after ``seed``.
+
+    Attributes:
+        load: Name of the load.
+        seed: Seed of all random choices.
+    """
 
     load: str
     seed: int
@@ -25,23 +32,29 @@
 
 
 class EndCounts(typing.NamedTuple):
-    """Requests that ended in one bin of half a second."""
+    """Numbers of requests that ended in one bin of half a second.
+
+    Attributes:
+        in_time: Requests answered within the load's target time.
+        late: Requests answered later than that.
+        failed: Requests without an answer.
+    """
 
     in_time: int
     late: int
     failed: int
 
 
-def play(name: str, seed: int, picture: pathlib.Path | None = None) -> Row:
-    """Play one load.
+def play(name: str, seed: int, plot: pathlib.Path | None = None) -> Row:
+    """Run one load and return the service that callers received.
 
     Args:
         name: A key of ``cookie_scenario.LOADS``.
-        seed: Decides all random choices.
-        picture: Where to draw service over time; None for nowhere.
+        seed: Seed of all random choices.
+        plot: Path of a plot of service over time; None for no plot.
 
     Raises:
-        errors.ScenarioInvalidError: There is no such load.
+        errors.ScenarioInvalidError: No load has this name.
     """
     load = cookie_scenario.LOADS.get(name)
     if load is None:
@@ -49,8 +62,8 @@
         raise errors.ScenarioInvalidError(f"no load {name!r}; there are {known}")
     run = cookie_load.Play(load, segments.Codec(), seed)
     result = run.run()
-    if picture is not None:
-        draw(load, timeline(load, run.ends), picture, f"{name}, seed {seed}")
+    if plot is not None:
+        draw(load, timeline(load, run.ends), plot, f"{name}, seed {seed}")
     return Row(
         name,
         seed,
@@ -66,7 +79,7 @@
 def timeline(
     load: cookie_scenario.Load, ends: typing.Iterable[cookie_load.End]
 ) -> list[EndCounts]:
-    """Return how requests ended, by bins of half a second from the start on."""
+    """Return the numbers of requests by outcome, one item per half second."""
     late: collections.Counter[int] = collections.Counter()
     failed: collections.Counter[int] = collections.Counter()
     in_time: collections.Counter[int] = collections.Counter()
@@ -83,23 +96,23 @@
 
 def draw(
     load: cookie_scenario.Load,
-    seconds: typing.Sequence[EndCounts],
+    bins: typing.Sequence[EndCounts],
     path: pathlib.Path,
     title: str,
 ) -> None:
-    """Write a picture of service over time, with the troubles marked.
+    """Write a plot of service over time, with the load's faults marked.
 
     Args:
-        load: What was played.
-        seconds: How requests ended, by bin.
-        path: Where the picture goes; its ending tells the format.
-        title: What stands above it.
+        load: The load that was run.
+        bins: Numbers of requests by outcome, one item per bin.
+        path: Path of the plot; its suffix selects the format.
+        title: Title of the plot.
     """
     colors = ("tab:green", "tab:orange", "tab:red")
     parts = [
         picture.Series(label, color, counts)
         for label, color, counts in zip(
-            EndCounts._fields, colors, zip(*seconds, strict=True), strict=True
+            EndCounts._fields, colors, zip(*bins, strict=True), strict=True
         )
     ]
     marks = [
