--- a/tests/measure_processes.py
+++ b/tests/measure_processes.py
@@ -1,7 +1,8 @@
-"""Measures real entry VMs at rest: processor time, memory and connections.
+"""Measure idle entry VM processes: processor time, memory and connections.
 
-Run as ``python -m tests.measure_processes 4 8 16``; one line per size. All
-processes are on loopback and are ended by this program.
+Run as ``python -m tests.measure_processes 4 8 16``, with sizes of fleets. The
+program prints one line per size. It starts all processes on loopback and ends
+them.
 """
 
 import os
@@ -14,21 +15,21 @@
 
 from tests import fleet
 
-BLOCK = 3
-READY_S = 60.0
+ADDRESS_BLOCK = 3
+READY_TIMEOUT_S = 60.0
 SETTLE_S = 15.0
-SPAN_S = 10.0
+MEASURED_S = 10.0
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+CPU_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class Usage(typing.NamedTuple):
-    """One process at one moment.
+    """Resource usage of one process at one time.
 
     Attributes:
-        cpu_s: Processor time so far.
+        cpu_s: Processor time since the process started.
         memory_mb: Resident memory.
-        sockets: Open file descriptors, sockets for the most part.
+        sockets: Open file descriptors, most of which are sockets.
     """
 
     cpu_s: float
@@ -37,15 +38,16 @@
 
 
 class Point(typing.NamedTuple):
-    """A fleet of one size, medians over its VMs.
+    """Measurements of an idle fleet of one size.
 
     Attributes:
         vms: Entry VMs.
-        ready_s: Time until all had the rules in force.
-        cpu_share: Share of a core.
-        memory_mb: Resident memory.
-        sockets: Open file descriptors.
-        platform_cpu_share: Share of a core of the platform's stand-in.
+        ready_s: Time until all VMs had the rules in force.
+        cpu_share: Processor time as a share of a core, median over the VMs.
+        memory_mb: Resident memory, median over the VMs.
+        sockets: Open file descriptors, median over the VMs.
+        platform_cpu_share: Processor time of the platform's stand-in as a share
+            of a core.
     """
 
     vms: int
@@ -57,19 +59,26 @@
 
 
 def usage(process_id: int) -> Usage:
-    """Read what a process uses from the kernel."""
-    folder = pathlib.Path(f"/proc/{process_id}")
-    fields = (folder / "stat").read_text().rpartition(")")[2].split()
-    cpu_s = (int(fields[11]) + int(fields[12])) / TICKS_PER_S
-    pages = int((folder / "statm").read_text().split()[1])
-    sockets = len(list((folder / "fd").iterdir()))
+    """Return the resource usage of a process, read from ``/proc``."""
+    process_folder = pathlib.Path(f"/proc/{process_id}")
+    fields = (process_folder / "stat").read_text().rpartition(")")[2].split()
+    cpu_s = (int(fields[11]) + int(fields[12])) / CPU_TICKS_PER_S
+    pages = int((process_folder / "statm").read_text().split()[1])
+    sockets = len(list((process_folder / "fd").iterdir()))
     return Usage(cpu_s, pages * PAGE_BYTES / 1e6, sockets)
 
 
 def measure(count: int) -> Point:
-    """Start a fleet, let it rest and measure it."""
+    """Start a fleet, wait until it is idle and measure it.
+
+    Args:
+        count: Number of entry VMs.
+
+    Raises:
+        TimeoutError: Not all VMs have the rules in force in time.
+    """
     with tempfile.TemporaryDirectory() as name:
-        run = fleet.Fleet(pathlib.Path(name), count, block=BLOCK)
+        run = fleet.Fleet(pathlib.Path(name), count, block=ADDRESS_BLOCK)
         try:
             return _measure(run, count)
         finally:
@@ -87,12 +96,12 @@
     ready_s = _await_rules(run, begun_s)
     time.sleep(SETTLE_S)
     before = {name: usage(item.pid) for name, item in run.running.items()}
-    time.sleep(SPAN_S)
+    time.sleep(MEASURED_S)
     after = {name: usage(item.pid) for name, item in run.running.items()}
     names = [node.name for node in run.nodes]
 
     def share(name: str) -> float:
-        return (after[name].cpu_s - before[name].cpu_s) / SPAN_S
+        return (after[name].cpu_s - before[name].cpu_s) / MEASURED_S
 
     return Point(
         count,
@@ -105,15 +114,15 @@
 
 
 def _await_rules(run: fleet.Fleet, begun_s: float) -> float:
-    while time.monotonic() - begun_s < READY_S:
+    while time.monotonic() - begun_s < READY_TIMEOUT_S:
         if all(run.lines(node.name, "config_in_force") for node in run.nodes):
             return time.monotonic() - begun_s
         time.sleep(0.2)
-    raise TimeoutError("not all VMs have the rules in force")
+    raise TimeoutError("not all VMs have the rules in force within the time limit")
 
 
 def main() -> None:
-    """Measure the sizes named on the command line."""
+    """Measure fleets of the sizes given on the command line."""
     for text in sys.argv[1:] or ("4", "8"):
         point = measure(int(text))
         pairs = point._asdict().items()
--- a/tests/test_packet_cost.py
+++ b/tests/test_packet_cost.py
@@ -1,4 +1,4 @@
-"""The paths whose cost is measured are the ones their names say."""
+"""Tests that the measured packets take the paths that are reported."""
 
 import pytest
 
@@ -11,25 +11,30 @@
 
 @pytest.fixture
 def bench() -> packet_cost.EngineBench:
-    """Two engines that serve."""
+    """Two engines in virtual time that both serve."""
     return packet_cost.EngineBench()
 
 
-def test_every_path_has_packets(bench: packet_cost.EngineBench) -> None:
+def test_every_path_has_one_packet_per_flow(bench: packet_cost.EngineBench) -> None:
+    """A path has too few packets, because too few flows have the wanted home."""
     for path in bench.paths():
         assert len(path.packets) == packet_path.FLOWS_PER_PATH
 
 
-def test_paths_take_the_way_their_names_say(bench: packet_cost.EngineBench) -> None:
+def test_only_the_path_to_another_home_forwards_packets(
+    bench: packet_cost.EngineBench,
+) -> None:
+    """Costs are reported under a path that the packets don't take."""
     forwarded = message.Counter.PACKETS_FORWARDED
-    seen = {}
+    counts = {}
     for path in bench.paths():
         before = bench.count(forwarded)
         bench.feed(bench.events(path))
-        seen[path.name] = bench.count(forwarded) - before
-    assert seen.pop("request_to_other_home") == packet_path.FLOWS_PER_PATH
-    assert set(seen.values()) == {0}
+        counts[path.name] = bench.count(forwarded) - before
+    assert counts.pop("request_to_other_home") == packet_path.FLOWS_PER_PATH
+    assert set(counts.values()) == {0}
 
 
-def test_profile_names_the_codec(bench: packet_cost.EngineBench) -> None:
+def test_profile_lists_functions_of_the_codec(bench: packet_cost.EngineBench) -> None:
+    """The profile doesn't include the processing of packets."""
     assert "dpkt.py" in bench.profile(bench.paths()[-1])
--- a/tests/test_trial_steering.py
+++ b/tests/test_trial_steering.py
@@ -1,4 +1,4 @@
-"""The command that plays loads on flows that name their target."""
+"""Tests of the trial that runs loads on flows whose packets name their target."""
 
 import pathlib
 
@@ -9,7 +9,8 @@
 from eelgrasswick.trials import trial_steering
 
 
-def test_ends_are_sorted_into_half_seconds() -> None:
+def test_requests_are_counted_in_half_second_bins_by_outcome() -> None:
+    """A request is counted in a wrong bin, or after the end of the load."""
     load = cookie_scenario.ORDINARY._replace(length_ms=1000)
     ends = [
         cookie_load.End(100, 80),
@@ -17,24 +18,28 @@
         cookie_load.End(700, None),
         cookie_load.End(1001, 80),
     ]
-    found = trial_steering.timeline(load, ends)
-    assert found == [
+    bins = trial_steering.timeline(load, ends)
+    assert bins == [
         trial_steering.EndCounts(1, 1, 0),
         trial_steering.EndCounts(0, 0, 1),
     ]
 
 
-def test_unknown_load_is_named_with_those_that_exist() -> None:
+def test_error_for_unknown_load_lists_existing_loads() -> None:
+    """The error for a mistyped load doesn't list the loads that exist."""
     with pytest.raises(errors.ScenarioInvalidError, match="ordinary"):
         trial_steering.play("nothing", 1)
 
 
-def test_picture_shows_a_loss_of_power(tmp_path: pathlib.Path) -> None:
-    """All VMs lose power at once and are back 1.4 s later.
+def test_load_with_power_loss_is_plotted_and_partly_served(
+    tmp_path: pathlib.Path,
+) -> None:
+    """No plot is written, or the power loss has no or too much effect.
 
-    Callers' packets find nobody meanwhile. What was asked before the end of the
-    outage is late or lost; afterwards all flows go on, as their packets still
-    name their targets.
+    All VMs lose power at once and are back 1.4 s later. Packets of callers are
+    not answered in between, so requests sent before the end of the outage are
+    late or lost. Afterwards all flows continue because their packets still name
+    their targets.
     """
     path = tmp_path / "power.svg"
     row = trial_steering.play("power_off", 1, path)
@@ -42,22 +47,23 @@
     assert 0.9 < row.served < 1.0
 
 
-def test_flows_go_on_after_a_loss_of_power() -> None:
-    """The VMs that come back know no flow that was open before.
+def test_no_request_fails_after_recovery_from_power_loss() -> None:
+    """Restarted VMs need state of earlier flows, which they have lost.
 
-    Were they to need such knowledge, all callers would have to open new flows.
+    In that case all callers would have to open new flows.
     """
     load = cookie_scenario.LOADS["power_off"]
     run = cookie_load.Play(load, trial_steering.segments.Codec(), 1)
     run.run()
-    seconds = trial_steering.timeline(load, run.ends)
-    assert sum(item.failed for item in seconds[24:]) == 0
+    bins = trial_steering.timeline(load, run.ends)
+    assert sum(item.failed for item in bins[24:]) == 0
 
 
-def test_burst_with_dark_servers_is_served() -> None:
-    """Two of seven servers vanish while 2.5 times the callers come everywhere.
+def test_burst_with_two_of_seven_targets_silent_is_served() -> None:
+    """Callers wait for silent targets although others have capacity.
 
-    Five servers must carry what is left; nobody should wait on the two.
+    Two of seven targets become silent while the number of callers rises to 2.5
+    times its usual value. The other five targets must serve the requests.
     """
     row = trial_steering.play("dark_burst", 1)
     assert row.served > 0.97
