--- a/eelgrasswick/trials/trial_placement.py
+++ b/eelgrasswick/trials/trial_placement.py
@@ -247,8 +247,8 @@
             hinted = not at_either_end and hints.get(request_vm, -1.0) >= at_ms
             forwarded = request_vm != item.home and not hinted
             passes += 2 if forwarded else 1
-            home_undetected = self.end_ms - DETECTION_MS <= at_ms < self.end_ms
-            if home_undetected and item.home == self.names[0] and not hinted:
+            before_detection = self.end_ms - DETECTION_MS <= at_ms < self.end_ms
+            if before_detection and item.home == self.names[0] and not hinted:
                 stalled += 1
             answer_vm = self.rng.choice(self.names)
             passes += 2 if at_either_end and answer_vm != item.home else 1
