--- a/eelgrasswick/decisions/choice.py
+++ b/eelgrasswick/decisions/choice.py
@@ -52,7 +52,7 @@
 
     def __init__(self, policy: placement.Placement) -> None:
         """Create a chooser with a policy and no observations."""
-        self.work = work.WorkBook()
+        self.work = work.RecentFlowTracker()
         self.strength = strength.StrengthTracker()
         self.ramp = ramp.RampTracker()
         self.retry = retry.RetryBudget()
@@ -100,7 +100,7 @@
         if reset or life_ms < work.YOUNG_MS:
             self.strength.ended(now_ms, name, life_ms, reset)
         if not reset:
-            self._concurrency.ended(now_ms, name, life_ms, self.work.busy(name))
+            self._concurrency.ended(now_ms, name, life_ms, self.work.young_flows(name))
 
     def tick(self, now_ms: int) -> None:
         """Record the flows that are no longer young.
@@ -118,12 +118,12 @@
         room = True
         if self._policy.learns:
             factor = self.strength.factor(name) * self.ramp.factor(now_ms, name)
-            room = self._concurrency.room(name, self.work.busy(name))
+            room = self._concurrency.room(name, self.work.young_flows(name))
         return placement.TargetLoad(
             item.target,
             item.open_flows,
-            self.work.busy(name),
-            item.recent_elsewhere + self.work.recent(now_ms, name),
+            self.work.young_flows(name),
+            item.recent_elsewhere + self.work.recent_flows(now_ms, name),
             item.target.weight * factor,
             item.usable and room,
         )
--- a/eelgrasswick/emulation/oracle.py
+++ b/eelgrasswick/emulation/oracle.py
@@ -42,7 +42,7 @@
         known = self._assigned.get(name)
         if known is None:
             return 0.0
-        return known.work_ms * math.exp((known.at_ms - self.now_ms()) / work.FADE_MS)
+        return known.work_ms * math.exp((known.at_ms - self.now_ms()) / work.DECAY_MS)
 
 
 class Oracle(placement.Placement):
--- a/eelgrasswick/emulation/work.py
+++ b/eelgrasswick/emulation/work.py
@@ -15,7 +15,7 @@
 import math
 import typing
 
-FADE_MS: typing.Final = 10_000
+DECAY_MS: typing.Final = 10_000
 YOUNG_MS: typing.Final = 2000
 _NEGLIGIBLE: typing.Final = 0.01
 
@@ -33,7 +33,7 @@
 _NONE: typing.Final = _Faded(0, 0.0)
 
 
-class WorkBook:
+class RecentFlowTracker:
     """Young flows and recent starts of each target, as one home placed them.
 
     A flow is young for ``YOUNG_MS``. An older one is a board or a download: it
@@ -52,13 +52,13 @@
         self.end(flow)
         self._young[flow] = _Start(now_ms, name)
         self._busy[name] += 1
-        self._recent[name] = _Faded(now_ms, self.recent(now_ms, name) + 1)
+        self._recent[name] = _Faded(now_ms, self.recent_flows(now_ms, name) + 1)
 
     def move(self, now_ms: int, flow: bytes, name: str) -> None:
         """Note that a flow went to another target before any work."""
         before = self._young.get(flow)
         if before is not None:
-            count = max(0.0, self.recent(now_ms, before.name) - 1)
+            count = max(0.0, self.recent_flows(now_ms, before.name) - 1)
             self._recent[before.name] = _Faded(now_ms, count)
         self.begin(now_ms, flow, name)
 
@@ -79,18 +79,18 @@
             aged.append(start.name)
         return aged
 
-    def busy(self, name: str) -> int:
+    def young_flows(self, name: str) -> int:
         """Return the young flows of a target that have not ended."""
         return self._busy[name]
 
-    def recent(self, now_ms: int, name: str) -> float:
+    def recent_flows(self, now_ms: int, name: str) -> float:
         """Return the faded count of flows placed on a target."""
         faded = self._recent.get(name, _NONE)
-        return faded.flows * math.exp(-(now_ms - faded.at_ms) / FADE_MS)
+        return faded.flows * math.exp(-(now_ms - faded.at_ms) / DECAY_MS)
 
-    def recent_tenths(self, now_ms: int) -> dict[str, int]:
+    def recent_flow_tenths(self, now_ms: int) -> dict[str, int]:
         """Return ten times the counts, and drop those that are about zero."""
-        counts = {name: self.recent(now_ms, name) for name in self._recent}
+        counts = {name: self.recent_flows(now_ms, name) for name in self._recent}
         for name, count in counts.items():
             if count < _NEGLIGIBLE:
                 del self._recent[name]
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -309,7 +309,7 @@
         serving = [item.name for item in self.membership.others.values() if item.serves]
         self._emptiness.check(now_ms, self.membership.me, self.keeper.watching, serving)
         counts = self.tables.flows.open_by_target
-        recent = self.opener.chooser.work.recent_tenths(now_ms)
+        recent = self.opener.chooser.work.recent_flow_tenths(now_ms)
         report = load.report(counts, recent)
         for name in serving:
             self.peers.send_link(name, report)
--- a/eelgrasswick/node.py
+++ b/eelgrasswick/node.py
@@ -98,7 +98,7 @@
 
     def load_report(self, now_ms: int) -> wire.LoadReport:
         """Return the load report that this home sends to the others once a second."""
-        recent = self.opener.chooser.work.recent_tenths(now_ms)
+        recent = self.opener.chooser.work.recent_flow_tenths(now_ms)
         return load.report(self.tables.flows.open_by_target, recent)
 
     def receive_peer_message(
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -95,20 +95,23 @@
 
 def test_recent_work_decays_and_young_flows_age() -> None:
     """Guards against starts of long ago that still count as recent work."""
-    recent_work = work.WorkBook()
+    recent_work = work.RecentFlowTracker()
     recent_work.begin(0, b"one", "a")
     recent_work.begin(1000, b"two", "a")
-    assert recent_work.busy("a") == 2
+    assert recent_work.young_flows("a") == 2
     assert recent_work.tick(work.YOUNG_MS) == ["a"]
-    assert recent_work.busy("a") == 1
-    assert recent_work.recent(work.FADE_MS, "a") < 1
-    assert recent_work.recent_tenths(20 * work.FADE_MS) == {}
+    assert recent_work.young_flows("a") == 1
+    assert recent_work.recent_flows(work.DECAY_MS, "a") < 1
+    assert recent_work.recent_flow_tenths(20 * work.DECAY_MS) == {}
 
 
 def test_moved_flow_counts_on_its_new_target() -> None:
     """Guards against work that is counted on a target that shed the flow."""
-    recent_work = work.WorkBook()
+    recent_work = work.RecentFlowTracker()
     recent_work.begin(0, b"one", "a")
     recent_work.move(0, b"one", "b")
-    assert (recent_work.busy("a"), recent_work.busy("b")) == (0, 1)
-    assert (recent_work.recent(0, "a"), recent_work.recent(0, "b")) == (0, 1)
+    assert (recent_work.young_flows("a"), recent_work.young_flows("b")) == (0, 1)
+    assert (recent_work.recent_flows(0, "a"), recent_work.recent_flows(0, "b")) == (
+        0,
+        1,
+    )
