--- a/eelgrasswick/emulation/emulated_caller.py
+++ b/eelgrasswick/emulation/emulated_caller.py
@@ -28,7 +28,7 @@
     UNFINISHED = "unfinished"
 
 
-class History(typing.NamedTuple):
+class FlowRecord(typing.NamedTuple):
     """One flow as its caller saw it.
 
     Attributes:
@@ -47,7 +47,7 @@
     service: str
     target: str
     began_ms: int
-    first_ms: int
+    first_byte_ms: int
     ended_ms: int
     end: End
     detail: str
@@ -104,7 +104,7 @@
 
     def __init__(self, rng: random.Random, addresses: int = 32) -> None:
         """Call from a number of addresses in 10.9.0.0/16."""
-        self.histories: list[History] = []
+        self.records: list[FlowRecord] = []
         self.outgoing: list[bytes] = []
         self._rng = rng
         self._addresses = addresses
@@ -117,7 +117,7 @@
         """Flows that have not ended."""
         return len(self._flows) + len(self._exchanges)
 
-    def calls(self, key: packet.FlowKey) -> bool:
+    def has_flow(self, key: packet.FlowKey) -> bool:
         """Tell whether a flow is open."""
         return key in self._flows or key in self._exchanges
 
@@ -150,7 +150,7 @@
         self._collect(stream)
         return key
 
-    def ask(
+    def call_udp(
         self,
         now_ms: int,
         service: packet.Address,
@@ -204,8 +204,8 @@
         detail: str,
     ) -> None:
         first_ms = now_ms - found.began_ms if target else -1
-        self.histories.append(
-            History(
+        self.records.append(
+            FlowRecord(
                 found.request.number,
                 found.request.service,
                 target,
@@ -301,8 +301,8 @@
         self, now_ms: int, key: packet.FlowKey, flow: _Flow, end: End, detail: str
     ) -> None:
         del self._flows[key]
-        self.histories.append(
-            History(
+        self.records.append(
+            FlowRecord(
                 flow.request.number,
                 flow.request.service,
                 flow.reply.target if flow.reply is not None else "",
@@ -328,7 +328,7 @@
         return End.WRONG_SERVICE, reply.service
     if reply.number != flow.request.number:
         return End.BROKEN, f"answer of request {reply.number}"
-    size = flow.request.answer_bytes
+    size = flow.request.part_bytes
     part = flow.request.number.to_bytes(8, "big") * (size // 8)
     if flow.body != part.ljust(size, b".") * flow.request.parts:
         return End.BROKEN, f"body of {len(flow.body)} bytes is not whole"
--- a/eelgrasswick/emulation/emulated_target.py
+++ b/eelgrasswick/emulation/emulated_target.py
@@ -30,9 +30,9 @@
     number: int
     service: str
     work_ms: int
-    answer_bytes: int
+    part_bytes: int
     parts: int
-    every_ms: int
+    part_interval_ms: int
 
 
 class Reply(typing.NamedTuple):
@@ -44,7 +44,7 @@
     total_bytes: int
 
 
-class Begun(typing.NamedTuple):
+class WorkStart(typing.NamedTuple):
     """A request that a target began to work on.
 
     Attributes:
@@ -112,7 +112,7 @@
         """Start a target that takes connections at once."""
         self.model = model
         self.executed: collections.Counter[int] = collections.Counter()
-        self.begun: list[Begun] = []
+        self.work_starts: list[WorkStart] = []
         self.wrong_service = 0
         self.max_open = 0
         self.outgoing: list[bytes] = []
@@ -131,7 +131,7 @@
         return len(self._inputs)
 
     @property
-    def queued(self) -> int:
+    def queued_requests(self) -> int:
         """Requests that wait for a slot."""
         return len(self._waiting)
 
@@ -190,7 +190,7 @@
 
     def _note(self, now_ms: int, request: Request, key: packet.FlowKey) -> None:
         self.executed[request.number] += 1
-        self.begun.append(Begun(now_ms, request.number, key))
+        self.work_starts.append(WorkStart(now_ms, request.number, key))
         if request.service != self.model.service:
             self.wrong_service += 1
 
@@ -224,7 +224,7 @@
         for job in done:
             self._working.remove(job)
             request = job.request
-            total = request.answer_bytes * request.parts
+            total = request.part_bytes * request.parts
             reply = Reply(request.number, self.model.service, self.model.name, total)
             job.stream.send(now_ms, msgspec.json.encode(reply) + b"\n")
             job.due_ms = now_ms
@@ -234,11 +234,11 @@
         for job in list(self._sending):
             while job.parts_left and job.due_ms <= now_ms:
                 body = job.request.number.to_bytes(8, "big") * (
-                    job.request.answer_bytes // 8
+                    job.request.part_bytes // 8
                 )
-                job.stream.send(now_ms, body.ljust(job.request.answer_bytes, b"."))
+                job.stream.send(now_ms, body.ljust(job.request.part_bytes, b"."))
                 job.parts_left -= 1
-                job.due_ms += job.request.every_ms
+                job.due_ms += job.request.part_interval_ms
             if not job.parts_left:
                 job.stream.close(now_ms)
                 self._sending.remove(job)
--- a/eelgrasswick/emulation/emulator.py
+++ b/eelgrasswick/emulation/emulator.py
@@ -239,12 +239,12 @@
 
     def report(self) -> str:
         """Return the histories of all flows, as JSON."""
-        return msgspec.json.encode(self._callers.histories).decode()
+        return msgspec.json.encode(self._callers.records).decode()
 
     def progress(self) -> str:
         """Return a line for people who watch."""
         ends: dict[str, int] = {}
-        for item in self._callers.histories:
+        for item in self._callers.records:
             ends[item.end.value] = ends.get(item.end.value, 0) + 1
         parts = " ".join(f"{name}={count}" for name, count in sorted(ends.items()))
         return f"called={self._number} open={self._callers.open_flows} {parts}"
--- a/tests/flow_steps.py
+++ b/tests/flow_steps.py
@@ -62,7 +62,7 @@
     def call_if_free(self, name: str, port: int, **request: int) -> None:
         """Call a service from a port of caller 0 that has no open flow."""
         owner = self.world.config().services[name]
-        if not self.world.callers.calls(flow_key(owner, port)):
+        if not self.world.callers.has_flow(flow_key(owner, port)):
             self.world.call(name, caller=0, port=port, **request)
 
     def edit(self, text: str) -> None:
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -72,15 +72,15 @@
     def begun(self, at: emulated_target.Target) -> None:
         """Note the work that a target began since the last time."""
         model = at.model
-        for item in at.begun:
+        for item in at.work_starts:
             self.run.add(
                 history.Start(
                     item.at_ms, item.number, str(item.flow), model.name, model.service
                 )
             )
-        at.begun.clear()
+        at.work_starts.clear()
 
-    def ended(self, ends: typing.Sequence[emulated_caller.History]) -> None:
+    def ended(self, ends: typing.Sequence[emulated_caller.FlowRecord]) -> None:
         """Note the flows that ended since the last time."""
         for item in ends[self._noted_ends :]:
             self.run.add(
@@ -95,7 +95,7 @@
         self._noted_ends = len(ends)
 
 
-def _outcome(item: emulated_caller.History) -> history.Outcome:
+def _outcome(item: emulated_caller.FlowRecord) -> history.Outcome:
     if item.detail.startswith(("answer of", "body of")):
         return history.Outcome.WRONG
     return _OUTCOMES.get(item.end, history.Outcome.BROKEN)
--- a/tests/test_cut.py
+++ b/tests/test_cut.py
@@ -73,4 +73,4 @@
         bench.world.run(50)
     bench.world.run(20_000)
     assert bench.world.ends() == {"whole": 40}
-    assert max(item.first_ms for item in bench.world.histories()) < 1000
+    assert max(item.first_byte_ms for item in bench.world.histories()) < 1000
--- a/tests/test_opener.py
+++ b/tests/test_opener.py
@@ -116,7 +116,7 @@
         slow_world.call("desk")
         slow_world.run(20)
     slow_world.run(5000)
-    times = [item.first_ms for item in slow_world.histories()]
+    times = [item.first_byte_ms for item in slow_world.histories()]
     assert slow_world.ends() == {"whole": 150}
     assert max(times) < 990
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -293,7 +293,7 @@
             self._numbers, service, work_ms, answer_bytes, parts, every_ms
         )
         tcp = owner.protocol == packet.Protocol.TCP
-        begin = self.callers.call if tcp else self.callers.ask
+        begin = self.callers.call if tcp else self.callers.call_udp
         key = begin(self.now_ms, owner.address, request, caller, port)
         self.recorder.called(self.now_ms, self._numbers, key, service)
         self._flush_callers()
@@ -308,17 +308,17 @@
         ]
         return max(present, key=lambda item: item.sequence)
 
-    def histories(self) -> list[emulated_caller.History]:
+    def histories(self) -> list[emulated_caller.FlowRecord]:
         """Return the flows that have ended."""
-        return self.callers.histories
+        return self.callers.records
 
     def ends(self) -> collections.Counter[str]:
         """Count ended flows by how they ended."""
-        return collections.Counter(item.end.value for item in self.callers.histories)
+        return collections.Counter(item.end.value for item in self.callers.records)
 
     def breaches(self) -> list[history.Violation]:
         """Check the history of the run so far for every promise."""
-        self.recorder.ended(self.callers.histories)
+        self.recorder.ended(self.callers.records)
         return history.check(self.recorder.run)
 
     @property
