--- a/eelgrasswick/commands/command_standin.py
+++ b/eelgrasswick/commands/command_standin.py
@@ -42,7 +42,9 @@
 
     def __call__(self) -> None:
         """Spray packets until ended."""
-        spray = emulator.Spray(default_reactor, self.platform, random.Random(self.seed))
+        spray = emulator.VmDirectory(
+            default_reactor, self.platform, random.Random(self.seed)
+        )
         emulator.Fabric(
             default_reactor,
             spray,
@@ -66,7 +68,7 @@
     def __call__(self) -> None:
         """Serve until ended, then write a report."""
         rng = random.Random(self.seed)
-        spray = emulator.Spray(default_reactor, self.platform, rng)
+        spray = emulator.VmDirectory(default_reactor, self.platform, rng)
         rules = rule.read(console.text(self.rules))
         targets = emulator.Targets(default_reactor, rules, spray, rng)
         spray.start()
@@ -108,7 +110,7 @@
             self.long_every_ms,
         )
         reactor = typing.cast(typing.Any, default_reactor)
-        calling = emulator.Calling(
+        calling = emulator.LoadGenerator(
             reactor,
             rule.read(console.text(self.rules)),
             packet.address(self.fabric),
--- a/eelgrasswick/emulation/emulated_platform.py
+++ b/eelgrasswick/emulation/emulated_platform.py
@@ -181,7 +181,7 @@
                 self._watchers.remove(watcher)
 
     @property
-    def watching(self) -> int:
+    def open_watches(self) -> int:
         """Number of watches that wait; each counts as a call."""
         return len(self._watchers)
 
@@ -216,7 +216,7 @@
                 del self._entries[key]
 
 
-class Site(resource.Resource):
+class StoreResource(resource.Resource):
     """Serves an emulated store and, under ``/emulator``, its switches."""
 
     isLeaf = True  # noqa: N815
@@ -234,7 +234,7 @@
 
     def render_GET(self, request: typing.Any) -> bytes:  # noqa: N802
         """Return the call counts."""
-        counts = {**self._store.calls, "watching": self._store.watching}
+        counts = {**self._store.calls, "watching": self._store.open_watches}
         return json.dumps(counts).encode()
 
     def render_POST(self, request: typing.Any) -> bytes | int:  # noqa: N802
--- a/eelgrasswick/emulation/emulator.py
+++ b/eelgrasswick/emulation/emulator.py
@@ -56,7 +56,7 @@
 def run_platform(reactor: typing.Any, address: packet.Address) -> None:
     """Serve the platform's store on an address."""
     emulated = emulated_platform.EmulatedStore(reactor)
-    site = server.Site(emulated_platform.Site(emulated))
+    site = server.Site(emulated_platform.StoreResource(emulated))
     host, _, port = str(address).rpartition(":")
     reactor.listenTCP(int(port), site, interface=host)
 
@@ -79,7 +79,7 @@
     reactor.listenUDP(int(port), socket, host, 65536)
 
 
-class Spray:
+class VmDirectory:
     """The entry VMs that the fabric knows, polled from the platform's list."""
 
     def __init__(self, reactor: typing.Any, url: str, rng: random.Random) -> None:
@@ -93,7 +93,7 @@
         """Begin to poll."""
         task.LoopingCall(self._poll).start(POLL_S)
 
-    def pick(self) -> tuple[str, int] | None:
+    def choose_address(self) -> tuple[str, int] | None:
         """Return any entry VM's data address."""
         return self._rng.choice(self.addresses) if self.addresses else None
 
@@ -115,7 +115,7 @@
     def __init__(
         self,
         reactor: typing.Any,
-        spray: Spray,
+        spray: VmDirectory,
         inside: packet.Address,
         outside: packet.Address,
     ) -> None:
@@ -129,7 +129,7 @@
 
     def _from_caller(self, datagram: bytes, addr: tuple[str, int]) -> None:
         self._caller = addr
-        vm = self._spray.pick()
+        vm = self._spray.choose_address()
         if vm is not None:
             self._inside.send(datagram, vm)
 
@@ -145,7 +145,7 @@
         self,
         reactor: typing.Any,
         rules: rule.Rules,
-        spray: Spray,
+        spray: VmDirectory,
         rng: random.Random,
     ) -> None:
         """Start one emulated target per target line; weight/slots is its speed."""
@@ -201,13 +201,13 @@
     def _flush(self) -> None:
         for item, socket in zip(self._targets, self._sockets, strict=True):
             for payload in item.outgoing:
-                vm = self._spray.pick()
+                vm = self._spray.choose_address()
                 if vm is not None:
                     socket.send(payload, vm)
             item.outgoing.clear()
 
 
-class Calling:
+class LoadGenerator:
     """Callers in one process, behind a fabric."""
 
     def __init__(
--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -123,7 +123,7 @@
         round((after.messages - before.messages) / each_s, 1),
         round(cpu_ns / 1e9 / each_s, 4),
         round(calls / SPAN_MS * 1000, 2),
-        fleet.platform.watching,
+        fleet.platform.open_watches,
         round(_open_us(fleet), 1),
     )
 
--- a/eelgrasswick/trials/trial_spread.py
+++ b/eelgrasswick/trials/trial_spread.py
@@ -73,7 +73,7 @@
         round((after.pulls - before.pulls) / each, 2),
         round((after.offers - before.offers) / each, 2),
         round(calls / passed_ms * 1000, 2),
-        fleet.platform.watching,
+        fleet.platform.open_watches,
         sum(item.missing for item in times),
     )
 
--- a/tests/test_feature_configuration.py
+++ b/tests/test_feature_configuration.py
@@ -130,7 +130,7 @@
         control_steps.in_force_soon(control, limit)
         begun_ms = control.accepted_ms
         control.world.run(seconds * 1000 - (control.world.now_ms - begun_ms))
-        rates[count] = Rate(platform.calls.total(), platform.watching)
+        rates[count] = Rate(platform.calls.total(), platform.open_watches)
 
 
 @pytest_bdd.then("the larger fleet makes at most a third more calls")
--- a/tests/test_gateway_answers.py
+++ b/tests/test_gateway_answers.py
@@ -121,7 +121,7 @@
 @pytest.fixture
 def served() -> typing.Iterator[Served]:
     emulated = emulated_platform.EmulatedStore(reactor)
-    site = server.Site(emulated_platform.Site(emulated))
+    site = server.Site(emulated_platform.StoreResource(emulated))
     port = reactor.listenTCP(0, site, interface=test_link.HOST)
     url = f"http://{test_link.HOST}:{port.getHost().port}"
     yield Served(emulated, gateway.Gateway(reactor, url, 2000), port)
@@ -173,10 +173,10 @@
         served.client.watch("k", 0, lambda rows: None)
     )
     watching.addErrback(lambda failure: None)
-    test_link.spin(lambda: served.emulated.watching == 1)
+    test_link.spin(lambda: served.emulated.open_watches == 1)
     await_result(served.client.read("k"))
     watching.cancel()
-    test_link.spin(lambda: served.emulated.watching == 0)
+    test_link.spin(lambda: served.emulated.open_watches == 0)
 
 
 def test_body_stops_at_a_line_that_is_wrong() -> None:
--- a/tests/test_gateway_watch.py
+++ b/tests/test_gateway_watch.py
@@ -21,7 +21,7 @@
         """Connect both in memory."""
         self.clock = task.Clock()
         self.store = emulated_platform.EmulatedStore(self.clock)
-        site = emulated_platform.Site(self.store)
+        site = emulated_platform.StoreResource(self.store)
         self.agent = testing.RequestTraversalAgent(site)
         reactor: typing.Any = self.clock
         self.gateway = gateway.Gateway(reactor, "http://platform", 1000)
@@ -69,10 +69,10 @@
     # A VM gives its watch to another one. A connection that stayed open would
     # go on to count as a call at the platform, one more with each change.
     watching = carried.watch()
-    assert carried.store.watching == 1
+    assert carried.store.open_watches == 1
     watching.cancel()
     carried.flush()
-    assert carried.store.watching == 0
+    assert carried.store.open_watches == 0
     carried.put(b"late")
     assert carried.rows == []
 
