--- a/eelgrasswick/emulation/cookie_load.py
+++ b/eelgrasswick/emulation/cookie_load.py
@@ -98,7 +98,7 @@
         self.ended = False
 
 
-class Play:
+class Simulation:
     """One run of a load."""
 
     def __init__(
@@ -122,7 +122,7 @@
         self._targets = [_Target(n, item) for n, item in enumerate(load.servers)]
         self._fleet = steered_fleet.Fleet(
             self._due,
-            cookie_scenario.Reader(load.servers, load.cold),
+            cookie_scenario.Reader(load.servers, load.service),
             wire,
             self._targets,
             vms_per_zone,
@@ -146,57 +146,57 @@
     def run(self) -> Result:
         """Play the load to its end."""
         for zone in steered_fleet.ZONES:
-            for _ in range(self._load.flows):
+            for _ in range(self._load.flows_per_zone):
                 self._due.later(self._rng.randrange(1000), self._new_flow, zone)
-        for trouble in self._load.troubles:
+        for trouble in self._load.events:
             self._due.later(trouble.at_ms, self._begin, trouble)
-        self._due.run(self._load.length_ms)
+        self._due.run(self._load.duration_ms)
         return self._result()
 
-    def _begin(self, trouble: cookie_scenario.Trouble) -> None:
+    def _begin(self, trouble: cookie_scenario.Event) -> None:
         if trouble.kind == "dark":
-            self._targets[int(trouble.which)].dark = True
+            self._targets[int(trouble.subject)].dark = True
         elif trouble.kind == "hang":
-            self._targets[int(trouble.which)].hangs = True
+            self._targets[int(trouble.subject)].hangs = True
         elif trouble.kind == "cut":
-            self._fleet.cut = str(trouble.which)
+            self._fleet.cut = str(trouble.subject)
         elif trouble.kind == "power_off":
             self._fleet.off = True
         elif trouble.kind == "evacuate":
-            self._write_evacuation(str(trouble.which), b"{}")
+            self._write_evacuation(str(trouble.subject), b"{}")
         elif trouble.kind == "cold_return":
             for target in self._in_zone(trouble):
                 target.dark = True
         else:
-            zone = str(trouble.which)
-            for _ in range(int((trouble.factor - 1) * self._load.flows)):
+            zone = str(trouble.subject)
+            for _ in range(int((trouble.factor - 1) * self._load.flows_per_zone)):
                 self._new_flow(zone)
         self._due.later(trouble.until_ms - trouble.at_ms, self._end_trouble, trouble)
 
-    def _end_trouble(self, trouble: cookie_scenario.Trouble) -> None:
+    def _end_trouble(self, trouble: cookie_scenario.Event) -> None:
         if trouble.kind == "dark":
-            self._targets[int(trouble.which)].dark = False
+            self._targets[int(trouble.subject)].dark = False
         elif trouble.kind == "hang":
-            self._targets[int(trouble.which)].hangs = False
+            self._targets[int(trouble.subject)].hangs = False
         elif trouble.kind == "cut":
             self._fleet.cut = ""
         elif trouble.kind == "power_off":
             self._fleet.off = False
             self._fleet.start()
         elif trouble.kind == "evacuate":
-            self._write_evacuation(str(trouble.which), None)
+            self._write_evacuation(str(trouble.subject), None)
         elif trouble.kind == "cold_return":
             for target in self._in_zone(trouble):
                 self._restart(target)
 
-    def _in_zone(self, trouble: cookie_scenario.Trouble) -> list[_Target]:
-        return [item for item in self._targets if item.zone == trouble.which]
+    def _in_zone(self, trouble: cookie_scenario.Event) -> list[_Target]:
+        return [item for item in self._targets if item.zone == trouble.subject]
 
     def _restart(self, target: _Target) -> None:
         """Start a server anew; it is cold and holds nothing of before."""
         target.dark = False
         target.queue.clear()
-        target.cold_until_ms = self._due.now_ms + self._load.cold.cold_ms
+        target.cold_until_ms = self._due.now_ms + self._load.service.cold_ms
         self._fleet.restart(target.number, str(self._due.now_ms).encode())
 
     def _write_evacuation(self, zone: str, value: bytes | None) -> None:
@@ -205,7 +205,7 @@
     def _new_flow(self, zone: str, asked_ms: int | None = None) -> None:
         self._port += 1
         vm = self._rng.choice(self._fleet.near(zone))
-        flow = _Flow(self._port, zone, vm, self._load.requests)
+        flow = _Flow(self._port, zone, vm, self._load.requests_per_flow)
         # The first request of a flow waits for it to open; one that is asked
         # again counts from its first try.
         flow.asked_ms = self._due.now_ms if asked_ms is None else asked_ms
@@ -240,7 +240,7 @@
         flow.left -= 1
         flow.waiting += 1
         self._send_request(flow, flow.waiting, RESEND_MS)
-        self._due.later(self._load.limit_ms, self._time_out, flow, flow.waiting)
+        self._due.later(self._load.timeout_ms, self._time_out, flow, flow.waiting)
 
     def _send_request(self, flow: _Flow, waiting: int, wait_ms: int) -> None:
         if flow.ended or flow.waiting != waiting:
@@ -348,7 +348,7 @@
         done = len(self._ends)
         return Result(
             self._asked,
-            sum(item <= self._load.aim_ms for item in times_ms) / max(1, done),
+            sum(item <= self._load.objective_ms for item in times_ms) / max(1, done),
             len(times_ms) / max(1, done),
             times_ms[len(times_ms) * 99 // 100] if times_ms else 0,
             max(loads) * len(loads) / max(1e-9, sum(loads)),
--- a/eelgrasswick/emulation/cookie_scenario.py
+++ b/eelgrasswick/emulation/cookie_scenario.py
@@ -29,7 +29,7 @@
     slowness: float
 
 
-class Trouble(typing.NamedTuple):
+class Event(typing.NamedTuple):
     """Something that begins at a moment.
 
     Attributes:
@@ -40,14 +40,14 @@
             targets are to get no new flow), ``cold_return`` (a zone's servers are
             away and start anew together, cold) or ``power_off`` (all VMs are away
             and forget what they saw).
-        which: Number of the server, or name of the zone; nothing for all.
+        subject: Number of the server, or name of the zone; nothing for all.
         until_ms: When it is over.
         factor: How many times more flows a burst brings.
     """
 
     at_ms: int
     kind: str
-    which: int | str
+    subject: int | str
     until_ms: int
     factor: float = 1.0
 
@@ -62,23 +62,23 @@
         work_ms: Mean work of a request at slowness 1.
         aim_ms: Answers within this are in time.
         limit_ms: Callers give up after this.
-        length_ms: Length of the run.
+        duration_ms: Length of the run.
         requests: Requests of a flow, after which its caller opens another.
-        troubles: What goes wrong.
+        events: What goes wrong.
         cold: What operators say of servers that have just started; they work at
             ``COLD_SLOWNESS`` meanwhile.
     """
 
     servers: tuple[Server, ...]
-    flows: int
+    flows_per_zone: int
     pause_ms: float
     work_ms: float
-    aim_ms: int
-    limit_ms: int
-    length_ms: int
-    requests: int
-    troubles: tuple[Trouble, ...] = ()
-    cold: model.Service = model.Service(SERVICE)
+    objective_ms: int
+    timeout_ms: int
+    duration_ms: int
+    requests_per_flow: int
+    events: tuple[Event, ...] = ()
+    service: model.Service = model.Service(SERVICE)
 
 
 _SERVERS: typing.Final = (
@@ -91,7 +91,7 @@
     Server("z3", 2, 0.7),
 )
 ORDINARY: typing.Final = Load(_SERVERS, 30, 400, 24, 150, 1000, 20_000, 12)
-_DARK: typing.Final = tuple(Trouble(5000, "dark", n, 12_000) for n in (0, 3))
+_DARK: typing.Final = tuple(Event(5000, "dark", n, 12_000) for n in (0, 3))
 # Thirty servers that are nearly idle, of which six hang, before many VMs.
 HANGING: typing.Final = Load(
     tuple(Server(f"z{n % 3 + 1}", 2, 1.0) for n in range(30)),
@@ -102,34 +102,34 @@
     3000,
     16_000,
     5,
-    tuple(Trouble(5000, "hang", n, 12_000) for n in range(6)),
+    tuple(Event(5000, "hang", n, 12_000) for n in range(6)),
 )
 # Thirty servers, of which a zone's ten come back together before many VMs.
 COLD_RETURN: typing.Final = HANGING._replace(
-    flows=200,
-    requests=3,
-    troubles=(Trouble(5000, "cold_return", "z2", 8000),),
-    cold=model.Service(SERVICE, 2000, 0.0),
+    flows_per_zone=200,
+    requests_per_flow=3,
+    events=(Event(5000, "cold_return", "z2", 8000),),
+    service=model.Service(SERVICE, 2000, 0.0),
 )
 LOADS: typing.Final[dict[str, Load]] = {
     "ordinary": ORDINARY,
-    "dark": ORDINARY._replace(troubles=_DARK),
-    "cut": ORDINARY._replace(troubles=(Trouble(8000, "cut", "z3", 14_000),)),
+    "dark": ORDINARY._replace(events=_DARK),
+    "cut": ORDINARY._replace(events=(Event(8000, "cut", "z3", 14_000),)),
     "burst": ORDINARY._replace(
-        flows=25, troubles=(Trouble(5000, "burst", "z1", 20_000, 4.0),)
+        flows_per_zone=25, events=(Event(5000, "burst", "z1", 20_000, 4.0),)
     ),
     "dark_burst": ORDINARY._replace(
-        flows=20,
-        troubles=(
-            *(Trouble(5000, "burst", zone, 20_000, 2.5) for zone in ("z1", "z2", "z3")),
+        flows_per_zone=20,
+        events=(
+            *(Event(5000, "burst", zone, 20_000, 2.5) for zone in ("z1", "z2", "z3")),
             *_DARK,
         ),
     ),
     "hanging": HANGING,
     "cold_return": COLD_RETURN,
-    "evacuate": ORDINARY._replace(troubles=(Trouble(6000, "evacuate", "z2", 14_000),)),
-    "power_off": ORDINARY._replace(troubles=(Trouble(8000, "power_off", "", 9400),)),
-    "saturation": ORDINARY._replace(flows=120, pause_ms=200),
+    "evacuate": ORDINARY._replace(events=(Event(6000, "evacuate", "z2", 14_000),)),
+    "power_off": ORDINARY._replace(events=(Event(8000, "power_off", "", 9400),)),
+    "saturation": ORDINARY._replace(flows_per_zone=120, pause_ms=200),
 }
 
 
--- a/eelgrasswick/emulation/open_load.py
+++ b/eelgrasswick/emulation/open_load.py
@@ -47,7 +47,7 @@
     @property
     def in_time(self) -> bool:
         """True when it was answered within its aim."""
-        return self.took_ms is not None and self.took_ms <= self.kind.aim_ms
+        return self.took_ms is not None and self.took_ms <= self.kind.objective_ms
 
     @property
     def worth(self) -> float:
@@ -101,7 +101,7 @@
         self.over = False
 
 
-class Play:
+class Simulation:
     """One run of a load."""
 
     def __init__(
@@ -133,15 +133,15 @@
 
     def run(self) -> list[End]:
         """Play the load; return how its requests ended, in order."""
-        for zone, part in zip(steered_fleet.ZONES, self._load.zone_parts, strict=True):
-            self._next_arrival(zone, part / sum(self._load.zone_parts))
-        for trouble in self._load.troubles:
+        for zone, part in zip(steered_fleet.ZONES, self._load.zone_shares, strict=True):
+            self._next_arrival(zone, part / sum(self._load.zone_shares))
+        for trouble in self._load.events:
             self._due.later(trouble.at_ms, self._begin, trouble)
             self._due.later(trouble.until_ms, self._end_trouble, trouble)
-        self._due.run(self._load.length_ms)
+        self._due.run(self._load.duration_ms)
         return self._ends
 
-    def _begin(self, trouble: open_scenario.Trouble) -> None:
+    def _begin(self, trouble: open_scenario.Event) -> None:
         if trouble.kind == "cut":
             self._fleet.cut = trouble.zone
         elif trouble.kind == "power_off":
@@ -149,7 +149,7 @@
         else:
             self._factor = trouble.factor
 
-    def _end_trouble(self, trouble: open_scenario.Trouble) -> None:
+    def _end_trouble(self, trouble: open_scenario.Event) -> None:
         if trouble.kind == "cut":
             self._fleet.cut = ""
         elif trouble.kind == "power_off":
@@ -159,16 +159,16 @@
             self._factor = 1.0
 
     def _next_arrival(self, zone: str, part: float) -> None:
-        per_ms = self._load.per_ms * part * self._factor
+        per_ms = self._load.requests_per_ms * part * self._factor
         self._due.later(self._rng.expovariate(per_ms), self._arrival, zone, part)
 
     def _arrival(self, zone: str, part: float) -> None:
         self._next_arrival(zone, part)
         kinds = self._load.kinds
-        kind = self._rng.choices(kinds, [item.part for item in kinds])[0]
-        request = _Request(kind, zone, self._rng.randrange(self._load.clients))
+        kind = self._rng.choices(kinds, [item.share for item in kinds])[0]
+        request = _Request(kind, zone, self._rng.randrange(self._load.clients_per_zone))
         request.asked_ms = self._due.now_ms
-        self._due.later(kind.limit_ms, self._lose, request)
+        self._due.later(kind.timeout_ms, self._lose, request)
         self._try(request)
 
     def _lose(self, request: _Request) -> None:
@@ -184,7 +184,7 @@
             return
         request.tries += 1
         idle = self._idle[(request.zone, request.client)]
-        if request.kind.long and idle:
+        if request.kind.uses_long_flows and idle:
             attempt = _Try(request, idle.pop())
             self._give_up_at_limit(attempt)
             self._send(attempt, RESEND_MS)
@@ -199,7 +199,7 @@
 
     def _give_up_at_limit(self, attempt: _Try) -> None:
         request = attempt.request
-        left_ms = request.asked_ms + request.kind.limit_ms - self._due.now_ms
+        left_ms = request.asked_ms + request.kind.timeout_ms - self._due.now_ms
         self._due.later(left_ms, self._close, attempt)
 
     def _open(self, attempt: _Try, copies: int) -> None:
@@ -239,7 +239,7 @@
     def _arrive(self, target: _Target, attempt: _Try) -> None:
         if target.busy < target.server.slots:
             self._work(target, attempt)
-        elif len(target.queue) < self._load.queue:
+        elif len(target.queue) < self._load.queue_limit:
             target.queue.append(attempt)
         else:
             self._answered(attempt, REFUSAL_BYTES)
@@ -264,7 +264,7 @@
         if not request.ended:
             self._end(request, self._due.now_ms + HOP_MS - request.asked_ms)
         flow.asked += 1
-        if flow.kind.long and flow.asked < self._load.flow_requests:
+        if flow.kind.uses_long_flows and flow.asked < self._load.requests_per_flow:
             attempt.over = True
             self._idle[(flow.zone, flow.client)].append(flow)
         else:
@@ -283,7 +283,7 @@
         request = attempt.request
         if request.ended:
             return
-        again = not ran or request.kind.long
+        again = not ran or request.kind.uses_long_flows
         if again and request.tries <= RETRIES:
             self._due.later(RETRY_MS, self._try, request)
         else:
@@ -320,7 +320,7 @@
         return None if self._fleet.apart(flow.zone, target.zone) else target
 
 
-def worth(ends: typing.Iterable[End]) -> float:
+def worth_ratio(ends: typing.Iterable[End]) -> float:
     """Return what callers got over what all answers in time would be worth."""
     got = owed = 0.0
     for item in ends:
@@ -329,18 +329,18 @@
     return got / owed if owed else 1.0
 
 
-def best(load: open_scenario.Load) -> float:
+def max_worth_ratio(load: open_scenario.Load) -> float:
     """Return the worth that no decider can pass while the demand is steady.
 
     It knows what is asked and fills the servers with what is worth most for its
     work; nothing waits.
     """
-    left_ms = load.strength
+    left_ms = load.capacity
     got = owed = 0.0
-    total = sum(item.part for item in load.kinds)
+    total = sum(item.share for item in load.kinds)
     by_value = sorted(load.kinds, key=lambda item: item.work_ms / item.worth)
     for kind in by_value:
-        per_ms = load.per_ms * kind.part / total
+        per_ms = load.requests_per_ms * kind.share / total
         served = min(per_ms, left_ms / kind.work_ms)
         left_ms -= served * kind.work_ms
         got += served * kind.worth
--- a/eelgrasswick/emulation/open_scenario.py
+++ b/eelgrasswick/emulation/open_scenario.py
@@ -30,17 +30,17 @@
     """
 
     name: str
-    part: float
+    share: float
     work_ms: float
-    aim_ms: int
-    limit_ms: int
+    objective_ms: int
+    timeout_ms: int
     worth: float
     late_worth: float
     priority: int
-    long: bool
+    uses_long_flows: bool
 
 
-class Trouble(typing.NamedTuple):
+class Event(typing.NamedTuple):
     """Something that begins at a moment.
 
     Attributes:
@@ -66,39 +66,39 @@
         servers: All targets, of one service.
         kinds: What is asked.
         demand: Work that is asked for over what all servers can do.
-        length_ms: Length of the run.
+        duration_ms: Length of the run.
         clients: Callers in each zone; each keeps its own idle flows.
-        flow_requests: Requests of a long flow, after which it is closed.
+        requests_per_flow: Requests of a long flow, after which it is closed.
         queue: Requests that a server lets wait beyond those it works on.
-        troubles: What goes wrong.
+        events: What goes wrong.
         zone_parts: Relative number of callers' requests from each zone.
     """
 
     servers: tuple[cookie_scenario.Server, ...]
     kinds: tuple[Kind, ...]
     demand: float
-    length_ms: int = 12_000
-    clients: int = 12
-    flow_requests: int = 5
-    queue: int = 12
-    troubles: tuple[Trouble, ...] = ()
-    zone_parts: tuple[float, float, float] = (1.0, 1.0, 1.0)
+    duration_ms: int = 12_000
+    clients_per_zone: int = 12
+    requests_per_flow: int = 5
+    queue_limit: int = 12
+    events: tuple[Event, ...] = ()
+    zone_shares: tuple[float, float, float] = (1.0, 1.0, 1.0)
 
     @property
-    def strength(self) -> float:
+    def capacity(self) -> float:
         """Milliseconds of work that all servers do in a millisecond."""
         return sum(item.slots / item.slowness for item in self.servers)
 
     @property
     def mean_work_ms(self) -> float:
         """Mean work of a request."""
-        total = sum(item.part for item in self.kinds)
-        return sum(item.part * item.work_ms for item in self.kinds) / total
+        total = sum(item.share for item in self.kinds)
+        return sum(item.share * item.work_ms for item in self.kinds) / total
 
     @property
-    def per_ms(self) -> float:
+    def requests_per_ms(self) -> float:
         """Requests that come in a millisecond."""
-        return self.demand * self.strength / self.mean_work_ms
+        return self.demand * self.capacity / self.mean_work_ms
 
 
 def _servers(
@@ -118,7 +118,7 @@
 EVEN: typing.Final = _servers(3, (1.0,))
 UNEQUAL: typing.Final = _servers(2, (1 / 0.3, 1.0, 1 / 2.2))
 UNEQUAL_THREE: typing.Final = _servers(3, (1 / 0.3, 1.0, 1 / 2.2))
-_CUT: typing.Final = Trouble(4000, 9000, "cut", "z3")
+_CUT: typing.Final = Event(4000, 9000, "cut", "z3")
 
 LOADS: typing.Final[dict[str, Load]] = {
     **{
@@ -126,11 +126,11 @@
         for percent in (50, 70, 80, 100, 120, 150, 200, 300)
     },
     "burst_ends": Load(
-        EVEN, KINDS, 0.7, troubles=(Trouble(4000, 7000, "burst", factor=2.5),)
+        EVEN, KINDS, 0.7, events=(Event(4000, 7000, "burst", factor=2.5),)
     ),
     # The zone has two of seven servers and asks for 1/0.8 of what they can do.
-    "zone_cut": Load(EVEN, KINDS, 0.6, troubles=(_CUT,), zone_parts=(1.0, 1.0, 2.94)),
-    "power_off": Load(EVEN, KINDS, 0.7, troubles=(Trouble(4000, 5400, "power_off"),)),
+    "zone_cut": Load(EVEN, KINDS, 0.6, events=(_CUT,), zone_shares=(1.0, 1.0, 2.94)),
+    "power_off": Load(EVEN, KINDS, 0.7, events=(Event(4000, 5400, "power_off"),)),
     "unequal_70": Load(UNEQUAL, KINDS, 0.7),
     "unequal_150": Load(UNEQUAL, KINDS, 1.5),
     "unequal_three_150": Load(UNEQUAL_THREE, KINDS, 1.5),
@@ -150,7 +150,7 @@
         shares = (model.Share(cookie_scenario.SERVICE, 1.0),)
         routes = {
             (SERVICE_IP, FIRST_PORT + number): model.Route(
-                kind.name, shares, kind.aim_ms, kind.priority
+                kind.name, shares, kind.objective_ms, kind.priority
             )
             for number, kind in enumerate(self._open_load.kinds)
         }
--- a/eelgrasswick/trials/trial_overload.py
+++ b/eelgrasswick/trials/trial_overload.py
@@ -54,17 +54,17 @@
     if load is None:
         known = ", ".join(open_scenario.LOADS)
         raise errors.ScenarioInvalidError(f"no load {name!r}; there are {known}")
-    ends = open_load.Play(load, segments.Codec(), seed).run()
+    ends = open_load.Simulation(load, segments.Codec(), seed).run()
     if plot is not None:
         _draw(load, ends, plot, f"{name}, seed {seed}")
-    counted = between(ends, BEGIN_MS, load.length_ms - END_MS)
+    counted = between(ends, BEGIN_MS, load.duration_ms - END_MS)
     kinds = [f"{kind.name}:{_worth_of(counted, kind):.3f}" for kind in load.kinds]
     return Row(
         name,
         seed,
         len(counted),
-        round(open_load.worth(counted), 3),
-        round(open_load.best(load), 3),
+        round(open_load.worth_ratio(counted), 3),
+        round(open_load.max_worth_ratio(load), 3),
         round(sum(item.in_time for item in counted) / len(counted), 3),
         round(sum(item.took_ms is not None for item in counted) / len(counted), 3),
         ",".join(kinds),
@@ -72,7 +72,7 @@
 
 
 def _worth_of(ends: typing.Iterable[open_load.End], kind: open_scenario.Kind) -> float:
-    return open_load.worth(item for item in ends if item.kind is kind)
+    return open_load.worth_ratio(item for item in ends if item.kind is kind)
 
 
 def between(
@@ -98,7 +98,7 @@
         elif item.in_time:
             sort = "in_time"
         counts[sort][item.asked_ms // BIN_MS] += 1
-    bins = range(load.length_ms // BIN_MS)
+    bins = range(load.duration_ms // BIN_MS)
     parts = [
         picture.Series(sort, color, [counts[sort][number] for number in bins])
         for sort, color in (
@@ -109,6 +109,6 @@
     ]
     marks = [
         picture.Mark(item.kind, item.at_ms / 1000, item.until_ms / 1000)
-        for item in load.troubles
+        for item in load.events
     ]
     picture.draw(path, title, BIN_MS / 1000, parts, marks)
--- a/eelgrasswick/trials/trial_steering.py
+++ b/eelgrasswick/trials/trial_steering.py
@@ -47,7 +47,7 @@
     if load is None:
         known = ", ".join(cookie_scenario.LOADS)
         raise errors.ScenarioInvalidError(f"no load {name!r}; there are {known}")
-    run = cookie_load.Play(load, segments.Codec(), seed)
+    run = cookie_load.Simulation(load, segments.Codec(), seed)
     result = run.run()
     if picture is not None:
         draw(load, timeline(load, run.ends), picture, f"{name}, seed {seed}")
@@ -74,10 +74,10 @@
         count = in_time
         if item.took_ms is None:
             count = failed
-        elif item.took_ms > load.aim_ms:
+        elif item.took_ms > load.objective_ms:
             count = late
         count[item.at_ms // BIN_MS] += 1
-    bins = range(load.length_ms // BIN_MS)
+    bins = range(load.duration_ms // BIN_MS)
     return [Second(in_time[n], late[n], failed[n]) for n in bins]
 
 
@@ -104,6 +104,6 @@
     ]
     marks = [
         picture.Mark(item.kind, item.at_ms / 1000, item.until_ms / 1000)
-        for item in load.troubles
+        for item in load.events
     ]
     picture.draw(path, title, BIN_MS / 1000, parts, marks)
--- a/tests/test_overload_play.py
+++ b/tests/test_overload_play.py
@@ -14,19 +14,19 @@
 
 
 def _play(name: str, seed: int = 1) -> list[open_load.End]:
-    return open_load.Play(open_scenario.LOADS[name], segments.Codec(), seed).run()
+    return open_load.Simulation(open_scenario.LOADS[name], segments.Codec(), seed).run()
 
 
 def _worth(ends: list[open_load.End], from_ms: int, to_ms: int, zones: str) -> float:
     asked = trial_overload.between(ends, from_ms, to_ms)
-    return open_load.worth(item for item in asked if item.zone in zones.split())
+    return open_load.worth_ratio(item for item in asked if item.zone in zones.split())
 
 
 def _steady(name: str, seed: int = 1) -> float:
     load = open_scenario.LOADS[name]
     ends = _play(name, seed)
-    end_ms = load.length_ms - trial_overload.END_MS
-    return open_load.worth(
+    end_ms = load.duration_ms - trial_overload.END_MS
+    return open_load.worth_ratio(
         trial_overload.between(ends, trial_overload.BEGIN_MS, end_ms)
     )
 
@@ -89,15 +89,17 @@
     """
     with_refusals = _steady(name)
     request.getfixturevalue("no_load_shedding")
-    best = open_load.best(open_scenario.LOADS[name])
+    best = open_load.max_worth_ratio(open_scenario.LOADS[name])
     assert with_refusals > _steady(name) + MIN_GAIN * best
 
 
 def test_urgent_uploads_are_served_under_overload() -> None:
     """Guards against refused uploads; a fifth of the demand, they all have room."""
     ends = _play("demand_150")
-    uploads = [item for item in ends if not item.kind.long and item.asked_ms > 2000]
-    assert open_load.worth(uploads) > 0.85
+    uploads = [
+        item for item in ends if not item.kind.uses_long_flows and item.asked_ms > 2000
+    ]
+    assert open_load.worth_ratio(uploads) > 0.85
 
 
 @pytest.mark.parametrize("name", ["demand_50", "demand_70"])
@@ -119,10 +121,10 @@
     ends = _play("burst_ends", seed)
     end_ms = 7000
     asked = trial_overload.between(ends, end_ms + 2000, end_ms + 3000)
-    assert open_load.worth(asked) > 0.95
+    assert open_load.worth_ratio(asked) > 0.95
 
 
-class LossyLoad(open_load.Play):
+class LossyLoad(open_load.Simulation):
     """Load in which a fifth of the targets' answers to opening packets is lost.
 
     Attributes:
--- a/tests/test_trial_steering.py
+++ b/tests/test_trial_steering.py
@@ -10,7 +10,7 @@
 
 
 def test_ends_are_sorted_into_half_seconds() -> None:
-    load = cookie_scenario.ORDINARY._replace(length_ms=1000)
+    load = cookie_scenario.ORDINARY._replace(duration_ms=1000)
     ends = [
         cookie_load.End(100, 80),
         cookie_load.End(499, 400),
@@ -45,7 +45,7 @@
     Were they to need such knowledge, all callers would have to open new flows.
     """
     load = cookie_scenario.LOADS["power_off"]
-    run = cookie_load.Play(load, trial_steering.segments.Codec(), 1)
+    run = cookie_load.Simulation(load, trial_steering.segments.Codec(), 1)
     run.run()
     seconds = trial_steering.timeline(load, run.ends)
     assert sum(item.failed for item in seconds[24:]) == 0
