--- a/eelgrasswick/emulation/virtual_fleet.py
+++ b/eelgrasswick/emulation/virtual_fleet.py
@@ -80,7 +80,7 @@
         self.membership = self.announcer
 
 
-class ClaimedHash(placement.BoundedHash):
+class ClaimedWeightHash(placement.BoundedHash):
     """The bounded hash that takes targets as strong as the rules claim."""
 
     learns = False
@@ -104,18 +104,18 @@
         self.me = me
         self.engine = runs
         self.cpu_ns = 0
-        self.feeds = 0
-        self.kinds: collections.Counter[int] = collections.Counter()
-        self.sizes: collections.Counter[int] = collections.Counter()
+        self.events_fed = 0
+        self.messages_by_code: collections.Counter[int] = collections.Counter()
+        self.bytes_by_code: collections.Counter[int] = collections.Counter()
         self.in_force_ms: dict[int, float] = {}
         self.watcher: watcher.Watcher
         self.alive = True
 
-    def note(self, payload: bytes) -> None:
+    def record_sent(self, payload: bytes) -> None:
         """Count a message that this VM sends."""
         # Every message is a CBOR array whose first item is its code.
-        self.kinds[payload[_CODE_AT]] += 1
-        self.sizes[payload[_CODE_AT]] += len(payload)
+        self.messages_by_code[payload[_CODE_AT]] += 1
+        self.bytes_by_code[payload[_CODE_AT]] += len(payload)
 
     @property
     def announced(self) -> int:
@@ -167,11 +167,11 @@
         self.platform = emulated_platform.EmulatedStore(self._clock)
         self._by_peer: dict[packet.Address, Vm] = {}
         self._by_link: dict[packet.Address, Vm] = {}
-        self.later(0.0, self._step_store)
+        self.call_later(0.0, self._step_store)
         for index in range(count):
-            self.add(index, zones[index % len(zones)])
+            self.add_vm(index, zones[index % len(zones)])
 
-    def add(self, index: int, zone: str) -> Vm:
+    def add_vm(self, index: int, zone: str) -> Vm:
         """Start the VM with a number and list it at the platform."""
         ip = f"10.0.{index // 250}.{index % 250 + 1}"
         me = member.Member(
@@ -194,7 +194,7 @@
         self._by_peer[peer.address_of(me)] = vm
         self._by_link[packet.address(f"{ip}:6082")] = vm
         self._list(me)
-        self.later(self._rng.random() * engine.TICK_MS, lambda: self._tick(vm))
+        self.call_later(self._rng.random() * engine.TICK_MS, lambda: self._tick(vm))
         return vm
 
     def put_rules(self, document: config.Document) -> None:
@@ -202,7 +202,7 @@
         put = store.Put(store.RULES_KEY, config.encode(document))
         self.platform.write((), (put,))
 
-    def later(self, delay_ms: float, call: typing.Callable[[], None]) -> None:
+    def call_later(self, delay_ms: float, call: typing.Callable[[], None]) -> None:
         """Call something after a delay in virtual milliseconds."""
         entry = (self.now_ms + delay_ms, next(self._numbers), call)
         heapq.heappush(self._queue, entry)
@@ -249,7 +249,7 @@
             sum(item[message.Counter.CONTROL_SENT_BYTES] for item in counts),
         )
 
-    def delay_ms(self) -> float:
+    def draw_delay_ms(self) -> float:
         """Draw the time a datagram takes."""
         return DELAY_MS + self._rng.random() * JITTER_MS
 
@@ -260,7 +260,7 @@
         before_ns = time.thread_time_ns()
         actions = vm.engine.feed(round(self.now_ms), event)
         vm.cpu_ns += time.thread_time_ns() - before_ns
-        vm.feeds += 1
+        vm.events_fed += 1
         vm.in_force_ms.setdefault(vm.engine.keeper.sequence, self.now_ms)
         for action in actions:
             self._do(vm, action)
@@ -281,30 +281,30 @@
                 pass
 
     def _send_peer(self, vm: Vm, action: message.SendPeer) -> None:
-        vm.note(action.payload)
+        vm.record_sent(action.payload)
         receiver = self._by_peer.get(action.destination)
         if receiver is None or self._rng.random() < self._loss:
             return
         event = message.PeerDatagram(peer.address_of(vm.me), action.payload)
-        self.later(self.delay_ms(), lambda: self.feed(receiver, event))
+        self.call_later(self.draw_delay_ms(), lambda: self.feed(receiver, event))
 
     def _send_link(self, vm: Vm, action: message.SendLink) -> None:
-        vm.note(action.payload)
+        vm.record_sent(action.payload)
         receiver = self._by_link[action.destination]
         event = message.LinkReceived(vm.me.name, action.payload)
-        wait_ms = 2 * self.delay_ms()
+        wait_ms = 2 * self.draw_delay_ms()
         while self._rng.random() < self._loss:
             wait_ms += RETRANSMIT_MS
-        self.later(wait_ms, lambda: self.feed(receiver, event))
+        self.call_later(wait_ms, lambda: self.feed(receiver, event))
 
     def _tick(self, vm: Vm) -> None:
         if vm.alive:
             self.feed(vm, message.Tick())
-            self.later(engine.TICK_MS, lambda: self._tick(vm))
+            self.call_later(engine.TICK_MS, lambda: self._tick(vm))
 
     def _step_store(self) -> None:
         self._clock.advance(STORE_STEP_MS / 1000)
-        self.later(STORE_STEP_MS, self._step_store)
+        self.call_later(STORE_STEP_MS, self._step_store)
 
     def _list(self, me: member.Member) -> None:
         value = {
@@ -317,7 +317,7 @@
         self.platform.write((), (put,))
 
 
-def code_of(item: wire.PeerMessage) -> int:
+def message_code(item: wire.PeerMessage) -> int:
     """Return the code under which ``Vm.kinds`` counts a message."""
     return wire.encode(item)[_CODE_AT]
 
--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -145,14 +145,14 @@
 
 def _heartbeat_bytes(fleet: virtual_fleet.VirtualFleet) -> int:
     codes = [
-        virtual_fleet.code_of(item)
+        virtual_fleet.message_code(item)
         for item in (
             wire.Ping(0, fleet.vms[0].me, 0, ()),
             wire.Ack(0, fleet.vms[0].me, 0, ()),
             wire.IndirectPingRequest(0, ""),
         )
     ]
-    return sum(vm.sizes[code] for vm in fleet.vms for code in codes)
+    return sum(vm.bytes_by_code[code] for vm in fleet.vms for code in codes)
 
 
 def rules_point(lines: int) -> RulesPoint:
--- a/eelgrasswick/trials/trial_engine.py
+++ b/eelgrasswick/trials/trial_engine.py
@@ -129,9 +129,9 @@
         cpu_before_ns = sum(vm.cpu_ns for vm in self._fleet.vms)
         span_ms = self._load.duration_s * 1000.0
         for item in trial_load.flows(self._load, warm_up=False):
-            self._fleet.later(item.at_ms, lambda item=item: self._open(item))  # type: ignore[misc]
-        self._fleet.later(span_ms / 2, self._drain)
-        self._fleet.later(span_ms * 3 / 4, self._kill)
+            self._fleet.call_later(item.at_ms, lambda item=item: self._open(item))  # type: ignore[misc]
+        self._fleet.call_later(span_ms / 2, self._drain)
+        self._fleet.call_later(span_ms * 3 / 4, self._kill)
         self._fleet.run(span_ms)
         after = self._fleet.traffic()
         cpu_ns = sum(vm.cpu_ns for vm in self._fleet.vms) - cpu_before_ns
@@ -172,7 +172,7 @@
     def _kill(self) -> None:
         dead = self._fleet.vms[0]
         self._fleet.kill(dead)
-        self._fleet.later(FABRIC_LAG_MS, lambda: self._spread.remove(dead))
+        self._fleet.call_later(FABRIC_LAG_MS, lambda: self._spread.remove(dead))
 
     # Callers.
 
@@ -185,10 +185,12 @@
         if call.over or call.step != step:
             return
         self._hand(_FABRIC, call.request())
-        self._fleet.later(REPEAT_MS, lambda: self._send(call, step))
+        self._fleet.call_later(REPEAT_MS, lambda: self._send(call, step))
 
     def _to_caller(self, vm: virtual_fleet.Vm, action: message.SendFabric) -> None:
-        self._fleet.later(self._fleet.delay_ms(), lambda: self._heard(action.payload))
+        self._fleet.call_later(
+            self._fleet.draw_delay_ms(), lambda: self._heard(action.payload)
+        )
 
     def _heard(self, payload: bytes) -> None:
         item = self._codec.decode(payload)
@@ -199,13 +201,13 @@
             call.step += 1
             step = call.step
             wait_ms = call.flow.every_ms if 1 < step < call.steps else 0.0
-            self._fleet.later(wait_ms, lambda: self._send(call, step))
+            self._fleet.call_later(wait_ms, lambda: self._send(call, step))
 
     # Targets.
 
     def _to_target(self, vm: virtual_fleet.Vm, action: message.SendDatagram) -> None:
-        self._fleet.later(
-            self._fleet.delay_ms(),
+        self._fleet.call_later(
+            self._fleet.draw_delay_ms(),
             lambda: self._serve(action.destination, action.payload),
         )
 
@@ -227,7 +229,9 @@
     def _hand(self, source: packet.Address, payload: bytes) -> None:
         vm = self._rng.choice(self._spread)
         event = message.FabricDatagram(source, payload)
-        self._fleet.later(self._fleet.delay_ms(), lambda: self._deliver(vm, event))
+        self._fleet.call_later(
+            self._fleet.draw_delay_ms(), lambda: self._deliver(vm, event)
+        )
 
     def _deliver(self, vm: virtual_fleet.Vm, event: message.FabricDatagram) -> None:
         self._handed += vm.alive
@@ -240,7 +244,7 @@
 
 
 def _policy(load: trial_load.Load) -> type[placement.Placement]:
-    return placement.BoundedHash if load.learns else virtual_fleet.ClaimedHash
+    return placement.BoundedHash if load.learns else virtual_fleet.ClaimedWeightHash
 
 
 def _segment(key: packet.FlowKey, flags: int, sequence: int, size: int) -> bytes:
--- a/eelgrasswick/trials/trial_spread.py
+++ b/eelgrasswick/trials/trial_spread.py
@@ -104,10 +104,10 @@
 
 
 def _sent(fleet: virtual_fleet.VirtualFleet) -> _Sent:
-    pull = virtual_fleet.code_of(wire.ConfigRequest(0))
-    offer = virtual_fleet.code_of(wire.ConfigResponse(b""))
+    pull = virtual_fleet.message_code(wire.ConfigRequest(0))
+    offer = virtual_fleet.message_code(wire.ConfigResponse(b""))
     return _Sent(
         sum(vm.announced for vm in fleet.vms),
-        sum(vm.kinds[pull] for vm in fleet.vms),
-        sum(vm.kinds[offer] for vm in fleet.vms),
+        sum(vm.messages_by_code[pull] for vm in fleet.vms),
+        sum(vm.messages_by_code[offer] for vm in fleet.vms),
     )
