--- a/eelgrasswick/emulation/agenda.py
+++ b/eelgrasswick/emulation/agenda.py
@@ -4,7 +4,7 @@
 import typing
 
 
-class Agenda:
+class Scheduler:
     """Calls that are due at moments of virtual time.
 
     Attributes:
@@ -17,7 +17,7 @@
         self._count = 0
         self._due: list[tuple[int, int, typing.Callable[..., None], typing.Any]] = []
 
-    def later(
+    def call_later(
         self, delay_ms: float, call: typing.Callable[..., None], *arguments: typing.Any
     ) -> None:
         """Call something after a delay; calls due together keep their order."""
--- a/eelgrasswick/emulation/cookie_load.py
+++ b/eelgrasswick/emulation/cookie_load.py
@@ -118,7 +118,7 @@
         """
         self._load = load
         self._rng = random.Random(seed)
-        self._due = agenda.Agenda()
+        self._due = agenda.Scheduler()
         self._targets = [_Target(n, item) for n, item in enumerate(load.servers)]
         self._fleet = steered_fleet.Fleet(
             self._due,
@@ -147,9 +147,9 @@
         """Play the load to its end."""
         for zone in steered_fleet.ZONES:
             for _ in range(self._load.flows_per_zone):
-                self._due.later(self._rng.randrange(1000), self._new_flow, zone)
+                self._due.call_later(self._rng.randrange(1000), self._new_flow, zone)
         for trouble in self._load.events:
-            self._due.later(trouble.at_ms, self._begin, trouble)
+            self._due.call_later(trouble.at_ms, self._begin, trouble)
         self._due.run(self._load.duration_ms)
         return self._result()
 
@@ -159,9 +159,9 @@
         elif trouble.kind == "hang":
             self._targets[int(trouble.subject)].hangs = True
         elif trouble.kind == "cut":
-            self._fleet.cut = str(trouble.subject)
+            self._fleet.cut_zone = str(trouble.subject)
         elif trouble.kind == "power_off":
-            self._fleet.off = True
+            self._fleet.powered_off = True
         elif trouble.kind == "evacuate":
             self._write_evacuation(str(trouble.subject), b"{}")
         elif trouble.kind == "cold_return":
@@ -171,7 +171,9 @@
             zone = str(trouble.subject)
             for _ in range(int((trouble.factor - 1) * self._load.flows_per_zone)):
                 self._new_flow(zone)
-        self._due.later(trouble.until_ms - trouble.at_ms, self._end_trouble, trouble)
+        self._due.call_later(
+            trouble.until_ms - trouble.at_ms, self._end_trouble, trouble
+        )
 
     def _end_trouble(self, trouble: cookie_scenario.Event) -> None:
         if trouble.kind == "dark":
@@ -179,9 +181,9 @@
         elif trouble.kind == "hang":
             self._targets[int(trouble.subject)].hangs = False
         elif trouble.kind == "cut":
-            self._fleet.cut = ""
+            self._fleet.cut_zone = ""
         elif trouble.kind == "power_off":
-            self._fleet.off = False
+            self._fleet.powered_off = False
             self._fleet.start()
         elif trouble.kind == "evacuate":
             self._write_evacuation(str(trouble.subject), None)
@@ -204,15 +206,15 @@
 
     def _new_flow(self, zone: str, asked_ms: int | None = None) -> None:
         self._port += 1
-        vm = self._rng.choice(self._fleet.near(zone))
+        vm = self._rng.choice(self._fleet.vms_in_zone(zone))
         flow = _Flow(self._port, zone, vm, self._load.requests_per_flow)
         # The first request of a flow waits for it to open; one that is asked
         # again counts from its first try.
         flow.asked_ms = self._due.now_ms if asked_ms is None else asked_ms
         self._asked += asked_ms is None
         for copies, delay_ms in enumerate(SYN_AFTER_MS):
-            self._due.later(delay_ms, self._open, flow, copies)
-        self._due.later(OPEN_MS, self._give_up_opening, flow)
+            self._due.call_later(delay_ms, self._open, flow, copies)
+        self._due.call_later(OPEN_MS, self._give_up_opening, flow)
 
     def _open(self, flow: _Flow, copies: int) -> None:
         if flow.target is not None or flow.ended:
@@ -228,7 +230,7 @@
             cold = self._due.now_ms < target.cold_until_ms
             self._openings.append(Opening(self._due.now_ms, target.number, cold))
             self._crossed += target.server.zone != flow.zone
-            self._due.later(2 * HOP_MS, self._ask, flow)
+            self._due.call_later(2 * HOP_MS, self._ask, flow)
 
     def _give_up_opening(self, flow: _Flow) -> None:
         if flow.target is None and not flow.ended:
@@ -240,7 +242,7 @@
         flow.left -= 1
         flow.waiting += 1
         self._send_request(flow, flow.waiting, RESEND_MS)
-        self._due.later(self._load.timeout_ms, self._time_out, flow, flow.waiting)
+        self._due.call_later(self._load.timeout_ms, self._time_out, flow, flow.waiting)
 
     def _send_request(self, flow: _Flow, waiting: int, wait_ms: int) -> None:
         if flow.ended or flow.waiting != waiting:
@@ -253,7 +255,7 @@
         if target is not None and flow.arrived != waiting:
             flow.arrived = waiting
             self._arrive(target, flow)
-        self._due.later(wait_ms, self._send_request, flow, waiting, 2 * wait_ms)
+        self._due.call_later(wait_ms, self._send_request, flow, waiting, 2 * wait_ms)
 
     def _arrive(self, target: _Target, flow: _Flow) -> None:
         if target.busy < target.server.slots:
@@ -270,13 +272,13 @@
         took_ms = work_ms * target.server.slowness
         if self._due.now_ms < target.cold_until_ms:
             took_ms *= cookie_scenario.COLD_SLOWNESS
-        self._due.later(took_ms, self._done, target, flow, flow.waiting)
+        self._due.call_later(took_ms, self._done, target, flow, flow.waiting)
 
     def _done(self, target: _Target, flow: _Flow, waiting: int) -> None:
         target.busy -= 1
         if target.queue:
             self._work(target, target.queue.popleft())
-        cut = self._fleet.apart(flow.zone, target.server.zone)
+        cut = self._fleet.partitioned(flow.zone, target.server.zone)
         if target.dark or target.hangs or cut or flow.ended or flow.waiting != waiting:
             return
         self._ends.append(
@@ -289,9 +291,9 @@
         if flow.left <= 0:
             self._steer(flow, packets.FIN | packets.ACK, flow.acknowledged, b"")
             flow.ended = True
-            self._due.later(self._pause(), self._new_flow, flow.zone)
+            self._due.call_later(self._pause(), self._new_flow, flow.zone)
             return
-        self._due.later(self._pause(), self._ask_next, flow)
+        self._due.call_later(self._pause(), self._ask_next, flow)
 
     def _ask_next(self, flow: _Flow) -> None:
         self._asked += 1
@@ -310,7 +312,7 @@
     def _fail(self, flow: _Flow) -> None:
         self._ends.append(End(self._due.now_ms, None))
         flow.ended = True
-        self._due.later(self._pause(), self._new_flow, flow.zone)
+        self._due.call_later(self._pause(), self._new_flow, flow.zone)
 
     def _pause(self) -> float:
         return self._rng.expovariate(1 / self._load.pause_ms)
@@ -318,7 +320,7 @@
     def _steer(
         self, flow: _Flow, flags: int, acknowledged: int, data: bytes
     ) -> steering.Decision:
-        stream = steered_fleet.Stream(
+        stream = steered_fleet.FlowState(
             flow.vm,
             1,
             flow.port,
@@ -332,8 +334,8 @@
     def _reached(self, flow: _Flow, decision: steering.Decision) -> _Target | None:
         if decision.target is None:
             return None
-        target = self._targets[self._fleet.number(decision.target)]
-        cut = self._fleet.apart(flow.zone, target.server.zone)
+        target = self._targets[self._fleet.target_index(decision.target)]
+        cut = self._fleet.partitioned(flow.zone, target.server.zone)
         return None if target.dark or cut else target
 
     def _result(self) -> Result:
--- a/eelgrasswick/emulation/open_load.py
+++ b/eelgrasswick/emulation/open_load.py
@@ -116,7 +116,7 @@
         """
         self._load = load
         self._rng = random.Random(seed)
-        self._due = agenda.Agenda()
+        self._due = agenda.Scheduler()
         self._targets = [_Target(item) for item in load.servers]
         self._fleet = steered_fleet.Fleet(
             self._due,
@@ -136,31 +136,31 @@
         for zone, part in zip(steered_fleet.ZONES, self._load.zone_shares, strict=True):
             self._next_arrival(zone, part / sum(self._load.zone_shares))
         for trouble in self._load.events:
-            self._due.later(trouble.at_ms, self._begin, trouble)
-            self._due.later(trouble.until_ms, self._end_trouble, trouble)
+            self._due.call_later(trouble.at_ms, self._begin, trouble)
+            self._due.call_later(trouble.until_ms, self._end_trouble, trouble)
         self._due.run(self._load.duration_ms)
         return self._ends
 
     def _begin(self, trouble: open_scenario.Event) -> None:
         if trouble.kind == "cut":
-            self._fleet.cut = trouble.zone
+            self._fleet.cut_zone = trouble.zone
         elif trouble.kind == "power_off":
-            self._fleet.off = True
+            self._fleet.powered_off = True
         else:
             self._factor = trouble.factor
 
     def _end_trouble(self, trouble: open_scenario.Event) -> None:
         if trouble.kind == "cut":
-            self._fleet.cut = ""
+            self._fleet.cut_zone = ""
         elif trouble.kind == "power_off":
-            self._fleet.off = False
+            self._fleet.powered_off = False
             self._fleet.start()
         else:
             self._factor = 1.0
 
     def _next_arrival(self, zone: str, part: float) -> None:
         per_ms = self._load.requests_per_ms * part * self._factor
-        self._due.later(self._rng.expovariate(per_ms), self._arrival, zone, part)
+        self._due.call_later(self._rng.expovariate(per_ms), self._arrival, zone, part)
 
     def _arrival(self, zone: str, part: float) -> None:
         self._next_arrival(zone, part)
@@ -168,7 +168,7 @@
         kind = self._rng.choices(kinds, [item.share for item in kinds])[0]
         request = _Request(kind, zone, self._rng.randrange(self._load.clients_per_zone))
         request.asked_ms = self._due.now_ms
-        self._due.later(kind.timeout_ms, self._lose, request)
+        self._due.call_later(kind.timeout_ms, self._lose, request)
         self._try(request)
 
     def _lose(self, request: _Request) -> None:
@@ -190,17 +190,17 @@
             self._send(attempt, RESEND_MS)
             return
         self._port += 1
-        vm = self._rng.choice(self._fleet.near(request.zone))
+        vm = self._rng.choice(self._fleet.vms_in_zone(request.zone))
         attempt = _Try(request, _Flow(request, self._port, vm))
         self._give_up_at_limit(attempt)
         for copies, delay_ms in enumerate(SYN_AFTER_MS):
-            self._due.later(delay_ms, self._open, attempt, copies)
-        self._due.later(OPEN_MS, self._give_up_opening, attempt)
+            self._due.call_later(delay_ms, self._open, attempt, copies)
+        self._due.call_later(OPEN_MS, self._give_up_opening, attempt)
 
     def _give_up_at_limit(self, attempt: _Try) -> None:
         request = attempt.request
         left_ms = request.asked_ms + request.kind.timeout_ms - self._due.now_ms
-        self._due.later(left_ms, self._close, attempt)
+        self._due.call_later(left_ms, self._close, attempt)
 
     def _open(self, attempt: _Try, copies: int) -> None:
         flow = attempt.flow
@@ -214,7 +214,7 @@
         if target is not None and decision.target is not None:
             flow.target = target
             flow.cookie = decision.target.cookie
-            self._due.later(2 * HOP_MS, self._send, attempt, RESEND_MS)
+            self._due.call_later(2 * HOP_MS, self._send, attempt, RESEND_MS)
 
     def _give_up_opening(self, attempt: _Try) -> None:
         if attempt.flow.target is None:
@@ -230,7 +230,7 @@
             return
         target = self._reached(flow, decision)
         if target is None:
-            self._due.later(wait_ms, self._send, attempt, 2 * wait_ms)
+            self._due.call_later(wait_ms, self._send, attempt, 2 * wait_ms)
             return
         # A target acknowledges a request at once, long before it answers.
         attempt.arrived = True
@@ -249,14 +249,16 @@
         target.busy += 1
         kind = attempt.request.kind
         work_ms = self._rng.lognormvariate(0, 0.5) / 1.133 * kind.work_ms
-        self._due.later(work_ms * target.server.slowness, self._done, target, attempt)
+        self._due.call_later(
+            work_ms * target.server.slowness, self._done, target, attempt
+        )
 
     def _done(self, target: _Target, attempt: _Try) -> None:
         target.busy -= 1
         if target.queue:
             self._work(target, target.queue.popleft())
         flow = attempt.flow
-        cut = self._fleet.apart(flow.zone, target.zone)
+        cut = self._fleet.partitioned(flow.zone, target.zone)
         if cut or attempt.over or flow.ended:
             return
         self._answered(attempt, ANSWER_BYTES)
@@ -285,7 +287,7 @@
             return
         again = not ran or request.kind.uses_long_flows
         if again and request.tries <= RETRIES:
-            self._due.later(RETRY_MS, self._try, request)
+            self._due.call_later(RETRY_MS, self._try, request)
         else:
             self._end(request, None)
 
@@ -302,7 +304,7 @@
         self, flow: _Flow, flags: int, acknowledged: int, data: bytes
     ) -> steering.Decision:
         number = self._load.kinds.index(flow.kind)
-        stream = steered_fleet.Stream(
+        stream = steered_fleet.FlowState(
             flow.vm,
             flow.client,
             flow.port,
@@ -316,8 +318,8 @@
     def _reached(self, flow: _Flow, decision: steering.Decision) -> _Target | None:
         if decision.target is None:
             return None
-        target = self._targets[self._fleet.number(decision.target)]
-        return None if self._fleet.apart(flow.zone, target.zone) else target
+        target = self._targets[self._fleet.target_index(decision.target)]
+        return None if self._fleet.partitioned(flow.zone, target.zone) else target
 
 
 def worth_ratio(ends: typing.Iterable[End]) -> float:
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -24,7 +24,7 @@
 # What VMs of a zone tell each other of overdue requests takes about so long.
 WITNESS_MS: typing.Final = 150
 # The last VM hears of a new row within this time.
-NEWS_MS: typing.Final = 1000
+MAX_UPDATE_DELAY_MS: typing.Final = 1000
 EVACUATION_PREFIX: typing.Final = "evacuate/"
 ZONES: typing.Final = ("z1", "z2", "z3")
 
@@ -45,7 +45,7 @@
         return model.Evacuation(row.key.removeprefix(EVACUATION_PREFIX))
 
 
-class Stream(typing.NamedTuple):
+class FlowState(typing.NamedTuple):
     """Where a flow stands, as its caller's next packet says.
 
     Attributes:
@@ -71,9 +71,9 @@
     """One entry VM."""
 
     zone: str
-    known: catalog.Catalog
+    catalog: catalog.Catalog
     steering: steering.Steering
-    seen: observations.Observations
+    observations: observations.Observations
 
 
 class Reachable(typing.Protocol):
@@ -97,7 +97,7 @@
 
     def __init__(
         self,
-        due: agenda.Agenda,
+        due: agenda.Scheduler,
         reader: Rows,
         wire: codec.SegmentCodec,
         targets: typing.Sequence[Reachable],
@@ -116,8 +116,8 @@
         """
         self._rng = rng
         self.vms: list[Vm] = []
-        self.cut = ""
-        self.off = False
+        self.cut_zone = ""
+        self.powered_off = False
         self._due = due
         self._reader = reader
         self._codec = wire
@@ -127,9 +127,9 @@
         # Rows that were written since the beginning.
         self._rows: dict[str, source.Row] = {}
         self.start()
-        due.later(TICK_MS, self._tick)
-        due.later(REPORT_MS, self._exchange_reports)
-        due.later(CHECK_MS, self._check)
+        due.call_later(TICK_MS, self._tick)
+        due.call_later(REPORT_MS, self._exchange_reports)
+        due.call_later(CHECK_MS, self._check)
 
     def start(self) -> None:
         """Start all VMs anew; they know the store and nothing of flows."""
@@ -149,26 +149,28 @@
         revision = len(self._targets) + len(self._rows) + 2
         row = self._rows[key] = source.Row(key, value, revision + self._due.now_ms)
         for vm in self.vms:
-            self._due.later(self._rng.randrange(NEWS_MS), self._hear, vm, row)
+            self._due.call_later(
+                self._rng.randrange(MAX_UPDATE_DELAY_MS), self._hear, vm, row
+            )
         return row
 
     def _hear(self, vm: Vm, row: source.Row) -> None:
-        vm.known.update(self._due.now_ms, knowledge.Merge((row,), 0))
+        vm.catalog.update(self._due.now_ms, knowledge.Merge((row,), 0))
 
-    def near(self, zone: str) -> list[int]:
+    def vms_in_zone(self, zone: str) -> list[int]:
         """Return the numbers of a zone's VMs."""
         return [number for number, vm in enumerate(self.vms) if vm.zone == zone]
 
-    def number(self, target: model.Target) -> int:
+    def target_index(self, target: model.Target) -> int:
         """Return the place of a target in the load."""
         return self._by_cookie[target.cookie]
 
-    def apart(self, first: str, second: str) -> bool:
+    def partitioned(self, first: str, second: str) -> bool:
         """Tell whether two zones can't reach each other."""
-        return first != second and self.cut in (first, second)
+        return first != second and self.cut_zone in (first, second)
 
     def steer(
-        self, stream: Stream, flags: int, acknowledged: int, data: bytes
+        self, stream: FlowState, flags: int, acknowledged: int, data: bytes
     ) -> steering.Decision:
         """Hand a packet of a flow to its VM; probe what it wants probed.
 
@@ -178,7 +180,7 @@
             acknowledged: What its caller has received.
             data: What the caller sends.
         """
-        if self.off:
+        if self.powered_off:
             return steering.Decision(steering.Outcome.NOT_READY, None, None, None)
         item = packets.Packet(
             bytes((100, 64, stream.vm, stream.caller)),
@@ -195,7 +197,7 @@
         vm = self.vms[stream.vm]
         decision = vm.steering.steer(self._due.now_ms, 0, self._codec.decode(raw), raw)
         if decision.probe is not None:
-            self._due.later(PROBE_MS, self._probed, vm, decision.probe)
+            self._due.call_later(PROBE_MS, self._probed, vm, decision.probe)
         return decision
 
     def _add_vm(self, zone: str, vm: int) -> None:
@@ -212,46 +214,50 @@
         names = [f"vm{number}" for number in range(len(self.vms))]
         for number, vm in enumerate(self.vms):
             others = (*names[:number], *names[number + 1 :])
-            vm.seen.cold.limits.update_fleet(self._due.now_ms, others, len(others))
-            vm.seen.tick(self._due.now_ms)
-        self._due.later(TICK_MS, self._tick)
+            vm.observations.cold.limits.update_fleet(
+                self._due.now_ms, others, len(others)
+            )
+            vm.observations.tick(self._due.now_ms)
+        self._due.call_later(TICK_MS, self._tick)
 
     def _check(self) -> None:
-        for vm in [] if self.off else self.vms:
-            targets, witnesses = vm.seen.take_overdue(self._due.now_ms)
+        for vm in [] if self.powered_off else self.vms:
+            targets, witnesses = vm.observations.take_overdue(self._due.now_ms)
             for target in targets:
-                self._due.later(PROBE_MS, self._probed, vm, target)
+                self._due.call_later(PROBE_MS, self._probed, vm, target)
             if witnesses:
-                self._due.later(WITNESS_MS, self._tell, vm, witnesses)
-        self._due.later(CHECK_MS, self._check)
+                self._due.call_later(WITNESS_MS, self._tell, vm, witnesses)
+        self._due.call_later(CHECK_MS, self._check)
 
     def _tell(self, teller: Vm, witnesses: list[ejection.Witness]) -> None:
         for vm in self.vms:
             if vm.zone == teller.zone and vm is not teller:
                 for item in witnesses:
                     aged = item._replace(age_ms=WITNESS_MS)
-                    vm.seen.record_witness(self._due.now_ms, aged)
+                    vm.observations.record_witness(self._due.now_ms, aged)
 
     def _exchange_reports(self) -> None:
         for number, vm in enumerate(self.vms):
-            report = vm.seen.report()
+            report = vm.observations.report()
             for other, heard in enumerate(self.vms):
-                if other != number and not self.apart(vm.zone, heard.zone):
-                    heard.seen.reports.record(self._due.now_ms, f"vm{number}", report)
-        self._due.later(REPORT_MS, self._exchange_reports)
+                if other != number and not self.partitioned(vm.zone, heard.zone):
+                    heard.observations.reports.record(
+                        self._due.now_ms, f"vm{number}", report
+                    )
+        self._due.call_later(REPORT_MS, self._exchange_reports)
 
     def _probed(self, vm: Vm, target: model.Target) -> None:
         accepted = self._accepts(vm, target)
-        neighbour = vm.seen.other_target_in_zone(self._due.now_ms, target)
+        neighbour = vm.observations.other_target_in_zone(self._due.now_ms, target)
         if not accepted and neighbour is not None and self._accepts(vm, neighbour):
-            vm.seen.record_zone_answer(self._due.now_ms, target.zone)
-        path_ms = vm.seen.zone_answered_ms(target)
-        dead = vm.seen.liveness.record_probe(
+            vm.observations.record_zone_answer(self._due.now_ms, target.zone)
+        path_ms = vm.observations.zone_answered_ms(target)
+        dead = vm.observations.liveness.record_probe(
             self._due.now_ms, target.cookie, accepted, path_ms
         )
         if dead:
             vm.steering.reset_flows(target)
 
     def _accepts(self, vm: Vm, target: model.Target) -> bool:
-        found = self._targets[self.number(target)]
-        return not found.dark and not self.apart(vm.zone, found.zone)
+        found = self._targets[self.target_index(target)]
+        return not found.dark and not self.partitioned(vm.zone, found.zone)
--- a/tests/test_cookie_load.py
+++ b/tests/test_cookie_load.py
@@ -131,7 +131,7 @@
     (trouble,) = cookie_scenario.LOADS["evacuate"].events
     servers = cookie_scenario.ORDINARY.servers
     zone = [item for item in play.openings if servers[item.target].zone == "z2"]
-    told_ms = trouble.at_ms + steered_fleet.NEWS_MS
+    told_ms = trouble.at_ms + steered_fleet.MAX_UPDATE_DELAY_MS
     assert not [item for item in zone if told_ms < item.at_ms <= trouble.until_ms]
     # The zone is used before, and again as soon as it is taken back.
     assert [item for item in zone if item.at_ms < trouble.at_ms]
