--- a/eelgrasswick/emulation/caller_model.py
+++ b/eelgrasswick/emulation/caller_model.py
@@ -36,7 +36,7 @@
         self.target = ""
 
 
-class Surroundings(abc.ABC):
+class Environment(abc.ABC):
     """What callers need of the run that they are part of.
 
     Attributes:
@@ -51,10 +51,10 @@
     scenario: scenario.Scenario
     tally: outcome.Tally
     targets: dict[str, model.Target]
-    truth: oracle.Truth
+    truth: oracle.GroundTruth
 
     @abc.abstractmethod
-    def later(
+    def call_later(
         self, delay_ms: float, call: typing.Callable[..., None], *arguments: typing.Any
     ) -> None:
         """Call something after a delay."""
@@ -71,7 +71,7 @@
 class Callers:
     """All callers of a run."""
 
-    def __init__(self, run: Surroundings, seed: int) -> None:
+    def __init__(self, run: Environment, seed: int) -> None:
         """Call into one run, at times that follow from a seed."""
         self._run = run
         self._load = run.scenario.load
@@ -83,7 +83,7 @@
 
     def start(self) -> None:
         """Let requests come from now on."""
-        self._run.later(0, self._arrive)
+        self._run.call_later(0, self._arrive)
 
     def finish(self) -> None:
         """Count the requests that never ended."""
@@ -106,7 +106,7 @@
         self._attempt(request)
         rate = self._offered() * run.scenario.capacity / run.scenario.mean_work_ms
         if rate:
-            run.later(self._rng.expovariate(rate), self._arrive)
+            run.call_later(self._rng.expovariate(rate), self._arrive)
 
     def _offered(self) -> float:
         load = self._load
@@ -134,10 +134,10 @@
         attempt = model.Attempt(key.packed, request, request.tries)
         live = _Live(attempt, key, self._packet(key, _FLAGS.SYN, b"Q"))
         self._live[attempt.flow] = live
-        run.later(HOP_MS, self._open, live)
+        run.call_later(HOP_MS, self._open, live)
         for delay_ms in SYN_MS:
-            run.later(delay_ms, self._open, live)
-        run.later(PATIENCE * self._load.deadline_ms, self._give_up, live)
+            run.call_later(delay_ms, self._open, live)
+        run.call_later(PATIENCE * self._load.deadline_ms, self._give_up, live)
 
     def _open(self, live: _Live) -> None:
         if self._waits(live) and not live.accepted:
@@ -192,7 +192,7 @@
         if kind == b"S" and not live.accepted:
             live.accepted = True
             live.target = name
-            self._run.later(2 * HOP_MS, self._ask, live)
+            self._run.call_later(2 * HOP_MS, self._ask, live)
         elif kind == b"R":
             self._reset(live)
 
@@ -223,7 +223,7 @@
         if request.tries >= self._load.tries:
             self._end(request, end)
             return
-        self._run.later(delay_ms, self._return, request)
+        self._run.call_later(delay_ms, self._return, request)
 
     def _return(self, request: model.Request) -> None:
         if request.ended or self._run.now_ms > self._load.duration_ms + LAST_MS:
@@ -259,10 +259,12 @@
             wait_ms = self._run.now_ms - request.attempt_ms
             self._run.tally.waited(request.work, wait_ms)
             delay_ms = begun.done_ms - self._run.now_ms
-            self._run.later(delay_ms, self._done, target, begun.attempt, target.life)
+            self._run.call_later(
+                delay_ms, self._done, target, begun.attempt, target.incarnation
+            )
 
     def _done(self, target: model.Target, attempt: model.Attempt, life: int) -> None:
-        if life != target.life:
+        if life != target.incarnation:
             return
         target.finish(attempt)
         self._work(target)
@@ -272,7 +274,7 @@
         request = attempt.request
         taken_ms = self._run.now_ms + 2 * HOP_MS - request.attempt_ms
         if request.work.hold_ms:
-            self._run.later(request.work.hold_ms, self._held, live, taken_ms)
+            self._run.call_later(request.work.hold_ms, self._held, live, taken_ms)
         else:
             self._answered(live, taken_ms)
 
@@ -301,17 +303,17 @@
         self._run.targets[live.target].close(live.attempt.flow)
         self._live.pop(live.attempt.flow, None)
         self._finish_target(live, 0)
-        self._run.later(2 * HOP_MS, self._finish_caller, live, 0)
+        self._run.call_later(2 * HOP_MS, self._finish_caller, live, 0)
 
     def _finish_target(self, live: _Live, repeats: int) -> None:
         item = self._answer(live.key, _FLAGS.FIN | _FLAGS.ACK, b"F")
         if not self._run.answer(item, live.key, live.target) and repeats < 3:
-            self._run.later(REPEAT_MS, self._finish_target, live, repeats + 1)
+            self._run.call_later(REPEAT_MS, self._finish_target, live, repeats + 1)
 
     def _finish_caller(self, live: _Live, repeats: int) -> None:
         item = self._packet(live.key, _FLAGS.FIN | _FLAGS.ACK, b"F")
         if not self._run.request(item, live.key) and repeats < 3:
-            self._run.later(REPEAT_MS, self._finish_caller, live, repeats + 1)
+            self._run.call_later(REPEAT_MS, self._finish_caller, live, repeats + 1)
 
     def _end(self, request: model.Request, end: outcome.End) -> None:
         request.ended = True
--- a/eelgrasswick/emulation/cookie_load.py
+++ b/eelgrasswick/emulation/cookie_load.py
@@ -74,7 +74,7 @@
         self.number = number
         self.server = server
         self.zone = server.zone
-        self.dark = False
+        self.silent = False
         self.hangs = False
         self.cold_until_ms = 0
         self.busy = 0
@@ -155,7 +155,7 @@
 
     def _begin(self, trouble: cookie_scenario.Event) -> None:
         if trouble.kind == "dark":
-            self._targets[int(trouble.subject)].dark = True
+            self._targets[int(trouble.subject)].silent = True
         elif trouble.kind == "hang":
             self._targets[int(trouble.subject)].hangs = True
         elif trouble.kind == "cut":
@@ -166,7 +166,7 @@
             self._write_evacuation(str(trouble.subject), b"{}")
         elif trouble.kind == "cold_return":
             for target in self._in_zone(trouble):
-                target.dark = True
+                target.silent = True
         else:
             zone = str(trouble.subject)
             for _ in range(int((trouble.factor - 1) * self._load.flows_per_zone)):
@@ -177,7 +177,7 @@
 
     def _end_trouble(self, trouble: cookie_scenario.Event) -> None:
         if trouble.kind == "dark":
-            self._targets[int(trouble.subject)].dark = False
+            self._targets[int(trouble.subject)].silent = False
         elif trouble.kind == "hang":
             self._targets[int(trouble.subject)].hangs = False
         elif trouble.kind == "cut":
@@ -196,7 +196,7 @@
 
     def _restart(self, target: _Target) -> None:
         """Start a server anew; it is cold and holds nothing of before."""
-        target.dark = False
+        target.silent = False
         target.queue.clear()
         target.cold_until_ms = self._due.now_ms + self._load.service.cold_ms
         self._fleet.restart(target.number, str(self._due.now_ms).encode())
@@ -279,7 +279,13 @@
         if target.queue:
             self._work(target, target.queue.popleft())
         cut = self._fleet.partitioned(flow.zone, target.server.zone)
-        if target.dark or target.hangs or cut or flow.ended or flow.waiting != waiting:
+        if (
+            target.silent
+            or target.hangs
+            or cut
+            or flow.ended
+            or flow.waiting != waiting
+        ):
             return
         self._ends.append(
             End(self._due.now_ms, self._due.now_ms + HOP_MS - flow.asked_ms)
@@ -336,7 +342,7 @@
             return None
         target = self._targets[self._fleet.target_index(decision.target)]
         cut = self._fleet.partitioned(flow.zone, target.server.zone)
-        return None if target.dark or cut else target
+        return None if target.silent or cut else target
 
     def _result(self) -> Result:
         times_ms = sorted(
@@ -345,7 +351,7 @@
         loads = [
             item.ran * item.server.slowness / item.server.slots
             for item in self._targets
-            if not item.dark
+            if not item.silent
         ]
         done = len(self._ends)
         return Result(
--- a/eelgrasswick/emulation/experiment.py
+++ b/eelgrasswick/emulation/experiment.py
@@ -34,7 +34,7 @@
 _SERVICE: typing.Final = packet.Address(bytes((10, 1, 0, 1)), 443)
 
 
-class Experiment(caller_model.Surroundings):
+class Experiment(caller_model.Environment):
     """One run of one scenario under one policy.
 
     Attributes:
@@ -63,7 +63,7 @@
         self.scenario = read
         self.tally = outcome.Tally(read)
         self.targets = {item.name: model.Target(item) for item in read.targets}
-        self.truth = oracle.Truth(self.targets, lambda: self.now_ms)
+        self.truth = oracle.GroundTruth(self.targets, lambda: self.now_ms)
         self._policy = policy
         self._seed = seed
         self._events: list[
@@ -84,7 +84,7 @@
         self._spread = list(self.nodes)
         self._callers = caller_model.Callers(self, seed)
 
-    def later(
+    def call_later(
         self, delay_ms: float, call: typing.Callable[..., None], *arguments: typing.Any
     ) -> None:
         """Call something after a delay."""
@@ -96,11 +96,11 @@
         """Play the scenario and return its figures."""
         for index, item in enumerate(self.nodes.values()):
             self._advance(item)
-            self.later(self.rng.random() * TICK_MS, self._tick, item)
+            self.call_later(self.rng.random() * TICK_MS, self._tick, item)
             phase_ms = REPORT_MS * (index + 1) / len(self.nodes)
-            self.later(phase_ms, self._report, item)
+            self.call_later(phase_ms, self._report, item)
         for event in self.scenario.events:
-            self.later(event.at_ms, self._event, event)
+            self.call_later(event.at_ms, self._event, event)
         self._callers.start()
         end_ms = self.scenario.load.duration_ms + SETTLE_MS
         while self._events and self._events[0][0] <= end_ms:
@@ -152,9 +152,11 @@
             match action:
                 case message.SendDatagram():
                     name = self._endpoints[action.destination]
-                    self.later(HOP_MS, self._callers.at_target, name, action.payload)
+                    self.call_later(
+                        HOP_MS, self._callers.at_target, name, action.payload
+                    )
                 case message.SendFabric():
-                    self.later(HOP_MS, self._callers.at_caller, action.payload)
+                    self.call_later(HOP_MS, self._callers.at_caller, action.payload)
                 case message.SendPeer():
                     self._to_peer(sender, action)
 
@@ -162,7 +164,7 @@
         ip = ".".join(str(part) for part in action.destination.ip)
         receiver = self.nodes[self._addresses[ip]]
         if not (sender.cut or receiver.cut):
-            self.later(HOP_MS, self._at_peer, sender, receiver, action.payload)
+            self.call_later(HOP_MS, self._at_peer, sender, receiver, action.payload)
 
     def _at_peer(self, sender: node.Node, receiver: node.Node, payload: bytes) -> None:
         if receiver.alive:
@@ -174,7 +176,7 @@
     def _tick(self, item: node.Node) -> None:
         if item.alive:
             self._carry(item, item.tick(self.clock_ms))
-            self.later(TICK_MS, self._tick, item)
+            self.call_later(TICK_MS, self._tick, item)
 
     def _report(self, item: node.Node) -> None:
         if not item.alive:
@@ -183,9 +185,9 @@
         for other in self.nodes.values():
             if other is not item and not (item.cut or other.cut):
                 item.peers.send_link(other.vm.name, report)
-                self.later(HOP_MS, self._reported, other, item.vm.name, report)
+                self.call_later(HOP_MS, self._reported, other, item.vm.name, report)
         item.outbox.take()
-        self.later(REPORT_MS, self._report, item)
+        self.call_later(REPORT_MS, self._report, item)
 
     def _reported(
         self, receiver: node.Node, sender: str, report: wire.LoadReport
@@ -236,7 +238,7 @@
 
     def _stop_vm(self, name: str) -> None:
         self.nodes[name].alive = False
-        self.later(NOTICE_MS / 2, self._spread.remove, name)
+        self.call_later(NOTICE_MS / 2, self._spread.remove, name)
         self._notice()
 
     def _stop_zone(self, zone: str) -> None:
@@ -251,7 +253,7 @@
         # Each VM learns of a change in its own time.
         for item in self.nodes.values():
             delay_ms = NOTICE_MS * (0.5 + self.rng.random() / 2)
-            self.later(delay_ms, self._advance, item)
+            self.call_later(delay_ms, self._advance, item)
 
     def _result(self) -> outcome.Result:
         tally = self.tally
--- a/eelgrasswick/emulation/model.py
+++ b/eelgrasswick/emulation/model.py
@@ -72,7 +72,7 @@
         return not self.request.ended and self.request.tries == self.number
 
 
-class Finish(typing.NamedTuple):
+class StartedWork(typing.NamedTuple):
     """Work that a target has begun, and when it is done."""
 
     attempt: Attempt
@@ -103,12 +103,12 @@
         self._life = 0
 
     @property
-    def life(self) -> int:
+    def incarnation(self) -> int:
         """Grows with each stop, so that work of an earlier life is known."""
         return self._life
 
     @property
-    def reported(self) -> float:
+    def reported_load(self) -> float:
         """Load as its endpoint tells it."""
         return (len(self._queue) + self._working) * self.model.flattery
 
@@ -123,7 +123,7 @@
         """Take a request of an accepted flow."""
         self._queue.append(attempt)
 
-    def begin(self, now_ms: float) -> Finish | None:
+    def begin(self, now_ms: float) -> StartedWork | None:
         """Begin the next request if a slot is free."""
         if self.hangs or not self.up or self._working >= self.model.slots:
             return None
@@ -132,7 +132,7 @@
             if not attempt.alive:
                 continue
             self._working += 1
-            return Finish(attempt, now_ms + self._work_ms(now_ms, attempt))
+            return StartedWork(attempt, now_ms + self._work_ms(now_ms, attempt))
         return None
 
     def finish(self, attempt: Attempt) -> None:
--- a/eelgrasswick/emulation/open_load.py
+++ b/eelgrasswick/emulation/open_load.py
@@ -61,7 +61,7 @@
     def __init__(self, server: cookie_scenario.Server) -> None:
         self.server = server
         self.zone = server.zone
-        self.dark = False
+        self.silent = False
         self.busy = 0
         self.queue: collections.deque[_Try] = collections.deque()
 
--- a/eelgrasswick/emulation/oracle.py
+++ b/eelgrasswick/emulation/oracle.py
@@ -19,7 +19,7 @@
     work_ms: float
 
 
-class Truth:
+class GroundTruth:
     """The true state of all targets."""
 
     def __init__(
@@ -48,7 +48,7 @@
 class Oracle(placement.Placement):
     """Least recent work by true strength, among targets truly at work."""
 
-    def __init__(self, truth: Truth) -> None:
+    def __init__(self, truth: GroundTruth) -> None:
         """Choose with the truth."""
         self._truth = truth
 
@@ -69,12 +69,12 @@
         return self._truth.recent_ms(item.name) / max(0.001, strength)
 
 
-class Reported(placement.Placement):
+class ReportedLoad(placement.Placement):
     """Least load as the targets' endpoints report it, once a second."""
 
     learns = False
 
-    def __init__(self, truth: Truth) -> None:
+    def __init__(self, truth: GroundTruth) -> None:
         """Choose with the reports."""
         self._truth = truth
         self._read_ms = -math.inf
@@ -87,7 +87,7 @@
         if self._truth.now_ms() - self._read_ms > REPORT_MS:
             self._read_ms = self._truth.now_ms()
             known = self._truth.targets.items()
-            self._reported = {name: item.reported for name, item in known}
+            self._reported = {name: item.reported_load for name, item in known}
         usable = [item for item in ranked if item.usable]
         return min(usable, key=self._fill).target if usable else None
 
@@ -95,13 +95,13 @@
         return (self._reported[item.target.name] + 1) / item.strength
 
 
-Factory = typing.Callable[[Truth], placement.Placement]
+Factory = typing.Callable[[GroundTruth], placement.Placement]
 
 POLICIES: typing.Final[dict[str, Factory]] = {
     "bounded": lambda truth: placement.BoundedHash(),
     "hash": lambda truth: baseline.WeightedHash(),
     "round_robin": lambda truth: baseline.RoundRobin(),
     "least_open": lambda truth: baseline.LeastOpen(),
-    "reported": Reported,
+    "reported": ReportedLoad,
     "oracle": Oracle,
 }
--- a/eelgrasswick/emulation/packets.py
+++ b/eelgrasswick/emulation/packets.py
@@ -12,7 +12,7 @@
 ACK: typing.Final = 4
 FIN: typing.Final = 1
 RST: typing.Final = 2
-HEAD_BYTES: typing.Final = 34
+HEADER_BYTES: typing.Final = 34
 MAX_DATA_BYTES: typing.Final = 1200
 _HEAD: typing.Final = struct.Struct(">HIIII4sH4sHB3s")
 # Any key does; the stand-ins only show that nobody changed a packet.
@@ -44,7 +44,7 @@
     acknowledged: int
     echo: int
     data: bytes
-    unsummed: bool = False
+    without_checksum: bool = False
 
 
 def encode(item: Packet) -> bytes:
@@ -54,7 +54,7 @@
 
 def decode(raw: bytes) -> Packet | None:
     """Return the packet in some bytes, or None when they are none."""
-    if len(raw) < HEAD_BYTES:
+    if len(raw) < HEADER_BYTES:
         return None
     head = _HEAD.unpack_from(raw)
     size, sequence, acknowledged, echo, total = head[:5]
@@ -68,10 +68,10 @@
         sequence,
         acknowledged,
         echo,
-        raw[HEAD_BYTES:],
+        raw[HEADER_BYTES:],
     )
     if flags == RST and total == 0 and not item.data:
-        return item._replace(unsummed=True)
+        return item._replace(without_checksum=True)
     return item if size == len(item.data) and total == _sum(item) else None
 
 
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -79,7 +79,7 @@
 class Reachable(typing.Protocol):
     """A target of a load, as the VMs' probes find it."""
 
-    dark: bool
+    silent: bool
 
     @property
     def zone(self) -> str:
@@ -260,4 +260,4 @@
 
     def _accepts(self, vm: Vm, target: model.Target) -> bool:
         found = self._targets[self.target_index(target)]
-        return not found.dark and not self.partitioned(vm.zone, found.zone)
+        return not found.silent and not self.partitioned(vm.zone, found.zone)
--- a/eelgrasswick/soak/caller.py
+++ b/eelgrasswick/soak/caller.py
@@ -78,7 +78,7 @@
         now_s = time.monotonic()
         self._echo = item.echo or self._echo
         if item.flags & packets.RST:
-            self._reset(item.unsummed)
+            self._reset(item.without_checksum)
         elif item.flags & packets.SYN:
             if not self._open:
                 self._open = True
