--- a/eelgrasswick/emulation/__init__.py
+++ b/eelgrasswick/emulation/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for platform, fabric, targets and callers, and models of load."""
+"""Emulated platform, fabric, targets and callers, and simulations of load."""
--- a/eelgrasswick/emulation/agenda.py
+++ b/eelgrasswick/emulation/agenda.py
@@ -1,32 +1,35 @@
-"""Virtual time: what is to happen, in the order in which it is due."""
+"""A scheduler of calls in virtual time."""
 
 import heapq
 import typing
 
 
 class Scheduler:
-    """Calls that are due at moments of virtual time.
+    """Runs calls in the order in which they are due in virtual time.
 
     Attributes:
-        now_ms: The present moment.
+        now_ms: Present virtual time in milliseconds.
     """
 
     def __init__(self) -> None:
-        """Begin at zero with nothing due."""
+        """Create an empty schedule at time 0."""
         self.now_ms = 0
-        self._count = 0
-        self._due: list[tuple[int, int, typing.Callable[..., None], typing.Any]] = []
+        self._call_count = 0
+        self._queue: list[tuple[int, int, typing.Callable[..., None], typing.Any]] = []
 
     def call_later(
         self, delay_ms: float, call: typing.Callable[..., None], *arguments: typing.Any
     ) -> None:
-        """Call something after a delay; calls due together keep their order."""
-        self._count += 1
+        """Schedule a call after a delay.
+
+        Calls that are due at the same time run in the order of their scheduling.
+        """
+        self._call_count += 1
         due_ms = self.now_ms + int(delay_ms)
-        heapq.heappush(self._due, (due_ms, self._count, call, arguments))
+        heapq.heappush(self._queue, (due_ms, self._call_count, call, arguments))
 
     def run(self, until_ms: int) -> None:
-        """Make all calls that are due up to a moment."""
-        while self._due and self._due[0][0] <= until_ms:
-            self.now_ms, _, call, arguments = heapq.heappop(self._due)
+        """Run all calls that are due at or before a time."""
+        while self._queue and self._queue[0][0] <= until_ms:
+            self.now_ms, _, call, arguments = heapq.heappop(self._queue)
             call(*arguments)
--- a/eelgrasswick/emulation/baseline.py
+++ b/eelgrasswick/emulation/baseline.py
@@ -1,7 +1,7 @@
-"""Simpler policies, kept to measure the one in use against.
+"""Simple placement policies, the baselines of the policy in use.
 
-They answer no load pattern of their own. ``eelgrasswick load`` runs them on the
-same scenarios, so that each claim about the policy in use has its comparison.
+No service uses them. ``eelgrasswick load`` runs them on the same scenarios, so that
+each claim about the policy in use can be checked by comparison.
 """
 
 import typing
@@ -11,7 +11,7 @@
 
 
 class WeightedHash(placement.Placement):
-    """The default target of the flow, whatever the load."""
+    """Places each flow on its default target, whatever the load."""
 
     learns = False
 
@@ -23,34 +23,37 @@
 
 
 class RoundRobin(placement.Placement):
-    """One target after the other, each as often as its weight says."""
+    """Places flows on the targets in turn, in proportion to their weights."""
 
     learns = False
 
     def __init__(self) -> None:
-        """Start with no turns given."""
-        self._turns: dict[str, float] = {}
+        """Create a policy that has placed no flow."""
+        self._turns_taken: dict[str, float] = {}
 
     def choose(
         self, ranked: typing.Sequence[placement.TargetLoad], factor: float
     ) -> target.Target | None:
-        """Choose the target with the fewest turns for its strength."""
+        """Choose the usable target with the fewest turns relative to its weight."""
         usable = [item for item in ranked if item.usable]
         if not usable:
             return None
-        chosen = min(usable, key=self._turn).target
+        chosen = min(usable, key=self._turns_of).target
         weight = max(chosen.weight, 0.01)
-        self._turns[chosen.name] = self._turns.get(chosen.name, 0.0) + 1 / weight
+        self._turns_taken[chosen.name] = (
+            self._turns_taken.get(chosen.name, 0.0) + 1 / weight
+        )
         return chosen
 
-    def _turn(self, item: placement.TargetLoad) -> float:
-        return self._turns.get(item.target.name, 0.0)
+    def _turns_of(self, item: placement.TargetLoad) -> float:
+        return self._turns_taken.get(item.target.name, 0.0)
 
 
 class LeastOpen(placement.Placement):
-    """The target with the fewest open flows for its strength.
+    """Places flows on the target with the fewest open flows for its strength.
 
-    With figures a second old all homes send their flows to the same target.
+    Homes get one another's flow counts once a second. Between two reports all homes
+    find the same target emptiest, and send their flows to it.
     """
 
     learns = False
@@ -58,12 +61,12 @@
     def choose(
         self, ranked: typing.Sequence[placement.TargetLoad], factor: float
     ) -> target.Target | None:
-        """Choose the target with the fewest open flows for its strength."""
+        """Choose the usable target with the fewest open flows for its strength."""
         usable = [item for item in ranked if item.usable]
         if not usable:
             return None
-        return min(usable, key=_open_share).target
+        return min(usable, key=_relative_open_flows).target
 
 
-def _open_share(item: placement.TargetLoad) -> float:
+def _relative_open_flows(item: placement.TargetLoad) -> float:
     return (item.open_flows + 1) / item.strength
--- a/eelgrasswick/emulation/caller_model.py
+++ b/eelgrasswick/emulation/caller_model.py
@@ -176,7 +176,7 @@
             reset = _FLAGS.RST | _FLAGS.ACK
             self._run.answer(self._answer(live.key, reset, b"R"), live.key, name)
             return
-        self._run.truth.assigned(name, live.attempt.request.work.work_ms)
+        self._run.truth.record_work(name, live.attempt.request.work.work_ms)
         opened = self._answer(live.key, _FLAGS.SYN | _FLAGS.ACK, b"S" + _name(name))
         self._run.answer(opened, live.key, name)
 
@@ -257,7 +257,7 @@
             request.ran += 1
             self._run.tally.ran_twice += request.ran == 2
             wait_ms = self._run.now_ms - request.attempt_ms
-            self._run.tally.waited(request.work, wait_ms)
+            self._run.tally.record_wait(request.work, wait_ms)
             delay_ms = begun.done_ms - self._run.now_ms
             self._run.call_later(
                 delay_ms, self._done, target, begun.attempt, target.incarnation
@@ -317,7 +317,7 @@
 
     def _end(self, request: model.Request, end: outcome.End) -> None:
         request.ended = True
-        self._run.tally.ended(self._run.now_ms, request, end)
+        self._run.tally.record_end(self._run.now_ms, request, end)
 
     @staticmethod
     def _packet(key: packet.FlowKey, flags: int, kind: bytes) -> packet.Packet:
--- a/eelgrasswick/emulation/model.py
+++ b/eelgrasswick/emulation/model.py
@@ -1,8 +1,8 @@
-"""A target in virtual time, for the command ``load``.
+"""Model of a target in virtual time, for the command ``load``.
 
-It has work slots, a queue without bound behind them and a limit of connections
-above which it sheds. It may start cold, hang, fail fast and flatter itself at
-its load endpoint.
+A target has work slots, an unbounded queue of requests that wait for a slot, and a
+limit of connections above which it refuses flows. It may start cold, hang, fail fast,
+and report less load than it has at its load endpoint.
 """
 
 import collections
@@ -15,19 +15,19 @@
 
 
 class Request:
-    """One request of a caller, over all its attempts.
+    """One request of a caller, with all its attempts.
 
     Attributes:
         number: Unique in a run.
-        work: Its kind.
+        work: Kind of the request.
         caller: Index of its caller.
         began_ms: When its first attempt began.
         attempt_ms: When its present attempt began.
         tries: Attempts so far.
-        returned: True when the present attempt follows a refusal.
-        refused: True while it waits for its return after a refusal.
-        ran: How often a target began to work on it.
-        ended: True when its caller has its answer or has given up.
+        returned: True if the present attempt follows a refusal.
+        refused: True from a refusal until its next attempt.
+        ran: How often targets began to work on it.
+        ended: True after its caller has the answer or has given up.
     """
 
     __slots__ = (
@@ -46,7 +46,7 @@
     def __init__(
         self, number: int, work: scenario.Work, caller: int, now_ms: float
     ) -> None:
-        """Describe a request whose first attempt is still to come."""
+        """Create a request that has not been attempted."""
         self.number = number
         self.work = work
         self.caller = caller
@@ -60,7 +60,13 @@
 
 
 class Attempt(typing.NamedTuple):
-    """One flow that carries a request to a target."""
+    """One attempt at a request, on a flow of its own.
+
+    Attributes:
+        flow: Packed key of the flow.
+        request: The request.
+        number: Number of the attempt, from 1.
+    """
 
     flow: bytes
     request: Request
@@ -68,30 +74,31 @@
 
     @property
     def alive(self) -> bool:
-        """True while the caller waits for this attempt."""
+        """True while the caller waits for the answer to this attempt."""
         return not self.request.ended and self.request.tries == self.number
 
 
 class StartedWork(typing.NamedTuple):
-    """Work that a target has begun, and when it is done."""
+    """Work that a target has begun, and the virtual time at which it is done."""
 
     attempt: Attempt
     done_ms: float
 
 
 class Target:
-    """The state of one target.
+    """A target: its flows, its queue and the work that it does.
 
     Attributes:
-        model: How it behaves.
-        up: False while it neither answers nor works.
+        model: Its claimed and its true properties.
+        up: False while it is stopped: it neither answers nor works.
         hangs: True while it accepts flows but does no work.
-        open_flows: Flows it holds.
-        worked_ms: Work it has done, as on a slot of speed 1.
+        open_flows: Attempts on the flows that it has accepted, by flow.
+        worked_ms: Work that it has done, as the time on a slot of speed 1.
+        started_ms: When it last started; long before the run for a warm target.
     """
 
     def __init__(self, model: scenario.TargetModel) -> None:
-        """Start warm and idle."""
+        """Create a warm and idle target."""
         self.model = model
         self.up = True
         self.hangs = False
@@ -99,63 +106,63 @@
         self.worked_ms = 0.0
         self.started_ms = -1e9
         self._queue: collections.deque[Attempt] = collections.deque()
-        self._working = 0
-        self._life = 0
+        self._busy_slots = 0
+        self._incarnation = 0
 
     @property
     def incarnation(self) -> int:
-        """Grows with each stop, so that work of an earlier life is known."""
-        return self._life
+        """Number of stops so far; work begun in an earlier incarnation is lost."""
+        return self._incarnation
 
     @property
     def reported_load(self) -> float:
-        """Load as its endpoint tells it."""
-        return (len(self._queue) + self._working) * self.model.flattery
+        """Load that its endpoint reports, true or not."""
+        return (len(self._queue) + self._busy_slots) * self.model.flattery
 
     def accept(self, attempt: Attempt) -> bool:
-        """Take a flow; False when it is shed."""
+        """Accept a flow; return False if it is refused at the connection limit."""
         if len(self.open_flows) >= self.model.connections:
             return False
         self.open_flows[attempt.flow] = attempt
         return True
 
     def enqueue(self, attempt: Attempt) -> None:
-        """Take a request of an accepted flow."""
+        """Queue the request of an accepted flow."""
         self._queue.append(attempt)
 
     def begin(self, now_ms: float) -> StartedWork | None:
-        """Begin the next request if a slot is free."""
-        if self.hangs or not self.up or self._working >= self.model.slots:
+        """Begin the next request that is still wanted, if a slot is free."""
+        if self.hangs or not self.up or self._busy_slots >= self.model.slots:
             return None
         while self._queue:
             attempt = self._queue.popleft()
             if not attempt.alive:
                 continue
-            self._working += 1
+            self._busy_slots += 1
             return StartedWork(attempt, now_ms + self._work_ms(now_ms, attempt))
         return None
 
     def finish(self, attempt: Attempt) -> None:
         """End the work on a request."""
-        self._working -= 1
+        self._busy_slots -= 1
         self.worked_ms += attempt.request.work.work_ms
 
     def close(self, flow: bytes) -> None:
-        """Forget a flow."""
+        """Remove a flow."""
         self.open_flows.pop(flow, None)
 
     def stop(self) -> list[Attempt]:
-        """Go down; return the flows that are cut."""
+        """Stop the target; return the attempts whose flows are broken."""
         cut = list(self.open_flows.values())
         self.up = False
-        self._life += 1
-        self._working = 0
+        self._incarnation += 1
+        self._busy_slots = 0
         self._queue.clear()
         self.open_flows.clear()
         return cut
 
     def start(self, now_ms: float) -> None:
-        """Come back, cold."""
+        """Start the target again; it is cold for ``cold_ms``."""
         self.up = True
         self.hangs = False
         self.started_ms = now_ms
--- a/eelgrasswick/emulation/oracle.py
+++ b/eelgrasswick/emulation/oracle.py
@@ -1,4 +1,4 @@
-"""Policies that are told what no home can know, as limits for comparison."""
+"""Placement policies with data that no home has, as limits for comparison."""
 
 import math
 import typing
@@ -11,88 +11,93 @@
     work,
 )
 
-REPORT_MS: typing.Final = 1000
+REPORT_INTERVAL_MS: typing.Final = 1000
 
 
-class _Assigned(typing.NamedTuple):
+class _RecentWork(typing.NamedTuple):
     at_ms: float
     work_ms: float
 
 
 class GroundTruth:
-    """The true state of all targets."""
+    """The true state of all targets of a run."""
 
     def __init__(
         self,
         targets: typing.Mapping[str, model.Target],
         now_ms: typing.Callable[[], float],
     ) -> None:
-        """Look at the targets of one run."""
+        """Observe the targets of one run.
+
+        Args:
+            targets: All targets by name.
+            now_ms: Returns the present virtual time in milliseconds.
+        """
         self.targets = targets
         self.now_ms = now_ms
-        self._assigned: dict[str, _Assigned] = {}
+        self._recent_work: dict[str, _RecentWork] = {}
 
-    def assigned(self, name: str, work_ms: float) -> None:
-        """Note work that was given to a target."""
+    def record_work(self, name: str, work_ms: float) -> None:
+        """Add work that was placed on a target."""
         total_ms = self.recent_ms(name) + work_ms
-        self._assigned[name] = _Assigned(self.now_ms(), total_ms)
+        self._recent_work[name] = _RecentWork(self.now_ms(), total_ms)
 
     def recent_ms(self, name: str) -> float:
-        """Return the work lately given to a target, which fades."""
-        known = self._assigned.get(name)
-        if known is None:
+        """Return the decayed sum of the work placed on a target, in milliseconds."""
+        recent = self._recent_work.get(name)
+        if recent is None:
             return 0.0
-        return known.work_ms * math.exp((known.at_ms - self.now_ms()) / work.DECAY_MS)
+        return recent.work_ms * math.exp((recent.at_ms - self.now_ms()) / work.DECAY_MS)
 
 
 class Oracle(placement.Placement):
-    """Least recent work by true strength, among targets truly at work."""
+    """Places flows by recent work and true strength, on targets that do work."""
 
     def __init__(self, truth: GroundTruth) -> None:
-        """Choose with the truth."""
+        """Create a policy that has the true state of all targets."""
         self._truth = truth
 
     def choose(
         self, ranked: typing.Sequence[placement.TargetLoad], factor: float
     ) -> target.Target | None:
-        """Choose by true state; see the base class."""
+        """Choose the working target with the least recent work for its strength."""
         usable = [item.target for item in ranked if item.usable]
-        good = [item for item in usable if self._good(item.name)] or usable
-        return min(good, key=self._fill, default=None)
+        working = [item for item in usable if self._works(item.name)] or usable
+        return min(working, key=self._load_of, default=None)
 
-    def _good(self, name: str) -> bool:
-        known = self._truth.targets[name]
-        return known.up and not known.hangs and known.model.strength > 0
+    def _works(self, name: str) -> bool:
+        found = self._truth.targets[name]
+        return found.up and not found.hangs and found.model.strength > 0
 
-    def _fill(self, item: target.Target) -> float:
+    def _load_of(self, item: target.Target) -> float:
         strength = self._truth.targets[item.name].model.strength
         return self._truth.recent_ms(item.name) / max(0.001, strength)
 
 
 class ReportedLoad(placement.Placement):
-    """Least load as the targets' endpoints report it, once a second."""
+    """Places flows by the loads that the targets report, read once a second."""
 
     learns = False
 
     def __init__(self, truth: GroundTruth) -> None:
-        """Choose with the reports."""
+        """Create a policy that has read no report yet."""
         self._truth = truth
-        self._read_ms = -math.inf
-        self._reported: dict[str, float] = {}
+        self._reports_read_ms = -math.inf
+        self._load_by_target: dict[str, float] = {}
 
     def choose(
         self, ranked: typing.Sequence[placement.TargetLoad], factor: float
     ) -> target.Target | None:
-        """Choose by the last reports; see the base class."""
-        if self._truth.now_ms() - self._read_ms > REPORT_MS:
-            self._read_ms = self._truth.now_ms()
-            known = self._truth.targets.items()
-            self._reported = {name: item.reported_load for name, item in known}
+        """Choose the target with the least reported load for its strength."""
+        if self._truth.now_ms() - self._reports_read_ms > REPORT_INTERVAL_MS:
+            self._reports_read_ms = self._truth.now_ms()
+            targets = self._truth.targets.items()
+            self._load_by_target = {name: item.reported_load for name, item in targets}
         usable = [item for item in ranked if item.usable]
-        return min(usable, key=self._fill).target if usable else None
+        return min(usable, key=self._load_of).target if usable else None
 
-    def _fill(self, item: placement.TargetLoad) -> float:
-        return (self._reported[item.target.name] + 1) / item.strength
+    def _load_of(self, item: placement.TargetLoad) -> float:
+        return (self._load_by_target[item.target.name] + 1) / item.strength
 
 
 Factory = typing.Callable[[GroundTruth], placement.Placement]
--- a/eelgrasswick/emulation/packets.py
+++ b/eelgrasswick/emulation/packets.py
@@ -1,7 +1,7 @@
-"""Packets as the stand-ins at both ends of a flow write and check them.
+"""Packets as the emulated callers and targets encode and check them.
 
-This is written apart from the adapter on purpose: were both wrong in the same
-way, a soak run would not notice.
+This module does not share code with the adapter that VMs use: a fault in shared code
+would affect both sides alike, and a soak run would not detect it.
 """
 
 import struct
@@ -14,25 +14,26 @@
 RST: typing.Final = 2
 HEADER_BYTES: typing.Final = 34
 MAX_DATA_BYTES: typing.Final = 1200
-_HEAD: typing.Final = struct.Struct(">HIIII4sH4sHB3s")
-# Any key does; the stand-ins only show that nobody changed a packet.
+_HEADER: typing.Final = struct.Struct(">HIIII4sH4sHB3s")
+# Any key will do: the checksum only shows that no packet was changed on its path.
 _KEY: typing.Final = b"soak"
 
 
 class Packet(typing.NamedTuple):
-    """One packet of a flow, as it stands on the wire.
+    """One packet of a flow, as it is on the wire.
 
     Attributes:
-        source: IP address of the sender's end, 4 bytes.
-        source_port: Its port.
-        destination: IP address of the other end.
-        destination_port: Its port.
-        flags: Bits of SYN, ACK, FIN and RST.
+        source: IP address of the sender, 4 bytes.
+        source_port: Port of the sender.
+        destination: IP address of the receiver, 4 bytes.
+        destination_port: Port of the receiver.
+        flags: Combination of ``SYN``, ``ACK``, ``FIN`` and ``RST``.
         sequence: Position of the data in the sender's stream.
-        acknowledged: What the sender has received.
+        acknowledged: Position in the other stream up to which the sender has it.
         echo: The cookie.
-        data: Up to 1,200 bytes.
-        unsummed: True for a reset of the entry VMs, which can't sum packets.
+        data: Payload, at most ``MAX_DATA_BYTES``.
+        without_checksum: True for a reset by an entry VM, which can't compute the
+            checksum.
     """
 
     source: bytes
@@ -48,17 +49,17 @@
 
 
 def encode(item: Packet) -> bytes:
-    """Return a packet's bytes with their sum."""
-    return _pack(item, _sum(item))
+    """Return the bytes of a packet, with its checksum."""
+    return _encode_with(item, _checksum(item))
 
 
 def decode(raw: bytes) -> Packet | None:
-    """Return the packet in some bytes, or None when they are none."""
+    """Return the packet in some bytes; None if they are no valid packet."""
     if len(raw) < HEADER_BYTES:
         return None
-    head = _HEAD.unpack_from(raw)
-    size, sequence, acknowledged, echo, total = head[:5]
-    destination, source_port, source, destination_port, flags, _ = head[5:]
+    header = _HEADER.unpack_from(raw)
+    size, sequence, acknowledged, echo, checksum = header[:5]
+    destination, source_port, source, destination_port, flags, _ = header[5:]
     item = Packet(
         source,
         source_port,
@@ -70,22 +71,22 @@
         echo,
         raw[HEADER_BYTES:],
     )
-    if flags == RST and total == 0 and not item.data:
+    if flags == RST and checksum == 0 and not item.data:
         return item._replace(without_checksum=True)
-    return item if size == len(item.data) and total == _sum(item) else None
+    return item if size == len(item.data) and checksum == _checksum(item) else None
 
 
-def _sum(item: Packet) -> int:
-    return zlib.crc32(_KEY + _pack(item._replace(echo=0), 0))
+def _checksum(item: Packet) -> int:
+    return zlib.crc32(_KEY + _encode_with(item._replace(echo=0), 0))
 
 
-def _pack(item: Packet, total: int) -> bytes:
-    head = _HEAD.pack(
+def _encode_with(item: Packet, checksum: int) -> bytes:
+    header = _HEADER.pack(
         len(item.data),
         item.sequence,
         item.acknowledged,
         item.echo,
-        total,
+        checksum,
         item.destination,
         item.source_port,
         item.source,
@@ -93,4 +94,4 @@
         item.flags,
         b"\0\0\0",
     )
-    return head + item.data
+    return header + item.data
--- a/eelgrasswick/emulation/scenario.py
+++ b/eelgrasswick/emulation/scenario.py
@@ -1,7 +1,7 @@
-"""What a scenario of the command ``load`` describes.
+"""Data types of the scenarios that the command ``load`` runs.
 
-A fleet of entry VMs, one service with its targets as they claim to be and as
-they truly are, the work callers bring, and events.
+A scenario describes a fleet of entry VMs, one service, the claimed and the true
+properties of its targets, the requests of callers, and events.
 """
 
 import enum
@@ -9,7 +9,7 @@
 
 
 class EventKind(enum.Enum):
-    """What can happen to the subject of an event."""
+    """What happens to the subject of an event: a VM, a target or a zone."""
 
     TARGET_DOWN = "target_down"
     TARGET_UP = "target_up"
@@ -21,7 +21,7 @@
 
 
 class Failing(enum.Enum):
-    """How a target fails while it looks alive."""
+    """How a target fails while it still accepts flows."""
 
     NO = "no"
     RESET = "reset"
@@ -29,7 +29,13 @@
 
 
 class Vm(typing.NamedTuple):
-    """An entry VM of the scenario."""
+    """An entry VM of the scenario.
+
+    Attributes:
+        name: Unique name.
+        zone: Its availability zone.
+        size: Its relative strength.
+    """
 
     name: str
     zone: str
@@ -37,18 +43,18 @@
 
 
 class TargetModel(typing.NamedTuple):
-    """A target as it claims to be and as it is.
+    """The claimed and the true properties of a target.
 
     Attributes:
         name: Unique name.
         zone: Its availability zone.
         slots: Requests it works on at once.
-        connections: Open flows it takes; it sheds above.
-        weight: Strength that the rules claim.
-        speed: True work done per slot and time; 1 is normal.
-        cold_ms: Time at a third of its speed after it starts.
-        flattery: What its load endpoint multiplies the truth with.
-        fails: Whether it resets, or answers at once without working.
+        connections: Open flows it accepts at once; it refuses further ones.
+        weight: Strength that the rules state.
+        speed: True speed of each slot; 1 is normal.
+        cold_ms: For how long it works at a third of its speed after it starts.
+        flattery: Factor by which its load endpoint multiplies its true load.
+        fails: Whether it resets flows, or answers at once without working.
     """
 
     name: str
@@ -63,7 +69,7 @@
 
     @property
     def strength(self) -> float:
-        """Work it truly does per unit of time."""
+        """Work that it truly does per unit of time, in slots of speed 1."""
         return self.slots * self.speed if self.fails is Failing.NO else 0.0
 
 
@@ -72,9 +78,9 @@
 
     Attributes:
         name: Its name in the results.
-        share: Relative part of all requests.
-        work_ms: Time in a slot of speed 1.
-        hold_ms: Time for which the flow stays open after the work.
+        share: Relative number of requests of this kind.
+        work_ms: Time that its work takes in a slot of speed 1.
+        hold_ms: For how long the flow stays open after the work.
     """
 
     name: str
@@ -84,7 +90,13 @@
 
 
 class Event(typing.NamedTuple):
-    """Something that happens at a time to a VM, target or zone."""
+    """An event of the scenario.
+
+    Attributes:
+        at_ms: When it happens, from the start of the run.
+        kind: What happens.
+        subject: Name of the VM, target or zone to which it happens.
+    """
 
     at_ms: int
     kind: EventKind
@@ -92,19 +104,19 @@
 
 
 class Load(typing.NamedTuple):
-    """How much callers bring.
+    """How many requests callers make, and how long they wait.
 
     Attributes:
-        duration_ms: How long new requests come.
-        of_capacity: Offered work over what all targets can do.
+        duration_ms: For how long new requests arrive.
+        of_capacity: Offered work over the capacity of all targets.
         burst_at_ms: Start of a burst; 0 for none.
         burst_ms: Length of the burst.
-        burst_of_capacity: Offered work during the burst.
-        deadline_ms: An answer later than this is of no use.
-        tries: Attempts of a caller that is refused and told to come back.
+        burst_of_capacity: Offered work over that capacity during the burst.
+        deadline_ms: Time from an attempt after which its answer is late.
+        tries: Most attempts at a request that is refused and may be retried.
         callers: Number of caller addresses.
-        hot_callers: How many of them bring ``hot_share`` of all requests.
-        hot_share: See ``hot_callers``.
+        hot_callers: How many of them make the share ``hot_share`` of all requests.
+        hot_share: Share of all requests that hot callers make.
     """
 
     duration_ms: int
@@ -120,7 +132,17 @@
 
 
 class Scenario(typing.NamedTuple):
-    """A whole scenario."""
+    """A scenario.
+
+    Attributes:
+        vms: All entry VMs.
+        targets: All targets of the one service.
+        works: Kinds of requests.
+        load: How many requests callers make.
+        events: What happens during the run.
+        wait_ms: For how long VMs may keep an opening packet waiting for a target.
+        per_caller: Limit of open flows of one caller; 0 for none.
+    """
 
     vms: tuple[Vm, ...]
     targets: tuple[TargetModel, ...]
@@ -132,11 +154,11 @@
 
     @property
     def capacity(self) -> float:
-        """Work that all targets do per unit of time."""
+        """Work that all targets do per unit of time, in slots of speed 1."""
         return sum(item.strength for item in self.targets)
 
     @property
     def mean_work_ms(self) -> float:
-        """Mean work of a request."""
+        """Mean work of a request, in milliseconds of a slot of speed 1."""
         shares = sum(item.share for item in self.works)
         return sum(item.share * item.work_ms for item in self.works) / shares
--- a/eelgrasswick/emulation/scenario_file.py
+++ b/eelgrasswick/emulation/scenario_file.py
@@ -1,6 +1,6 @@
-"""Reads scenarios of the command ``load`` from INI files.
+"""Parser of the scenarios of the command ``load``, which are INI files.
 
-All faults of a file are found in one go.
+All faults of a file are reported together.
 """
 
 import configparser
@@ -14,7 +14,7 @@
 
 
 def parse(text: str) -> scenario.Scenario:
-    """Read a scenario.
+    """Parse a scenario.
 
     Args:
         text: The whole INI file.
@@ -23,7 +23,7 @@
         The scenario.
 
     Raises:
-        errors.ScenarioInvalidError: The file has faults; the detail lists all.
+        errors.ScenarioInvalidError: The file has faults; the detail lists all of them.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -31,14 +31,14 @@
     except configparser.Error as error:
         raise errors.ScenarioInvalidError(str(error)) from error
     reader = _Reader(parser)
-    read = _read(reader)
-    _check(reader, read)
+    parsed = _parse_sections(reader)
+    _check(reader, parsed)
     if reader.faults:
         raise errors.ScenarioInvalidError("\n".join(reader.faults))
-    return read
+    return parsed
 
 
-def _read(reader: "_Reader") -> scenario.Scenario:
+def _parse_sections(reader: "_Reader") -> scenario.Scenario:
     return scenario.Scenario(
         _vms(reader),
         tuple(_target(reader, name) for name in reader.named("target")),
@@ -51,7 +51,7 @@
 
 
 class _Reader:
-    """Reads values and collects faults instead of stopping at the first."""
+    """Reads values of an INI file, and collects faults instead of raising errors."""
 
     def __init__(self, parser: configparser.ConfigParser) -> None:
         self.parser = parser
@@ -62,8 +62,8 @@
         self.faults.append(f"[{section}] {problem}")
 
     def named(self, kind: str) -> list[str]:
-        starts = f"{kind} "
-        return [name for name in self.parser.sections() if name.startswith(starts)]
+        prefix = f"{kind} "
+        return [name for name in self.parser.sections() if name.startswith(prefix)]
 
     def text(self, section: str, key: str, default: str | None = None) -> str:
         self._read.add((section, key))
@@ -82,10 +82,10 @@
         try:
             value = float(text)
         except ValueError:
-            self.fault(section, f"{key}={text!r} is no number")
+            self.fault(section, f"{key}={text!r} is not a number")
             return low
         if not low <= value <= high:
-            self.fault(section, f"{key}={text} is not from {low:g} to {high:g}")
+            self.fault(section, f"{key}={text} is not between {low:g} and {high:g}")
             return low
         return value
 
@@ -96,12 +96,12 @@
             return kinds(text)
         except ValueError:
             known = ", ".join(item.value for item in kinds)
-            self.fault(section, f"{key}={text!r} is none of {known}")
+            self.fault(section, f"{key}={text!r} is not one of {known}")
             return default
 
     def unread(self) -> list[str]:
         return [
-            f"[{section}] {key} is not known"
+            f"[{section}] {key} is not a known key"
             for section in self.parser.sections()
             for key in self.parser[section]
             if (section, key) not in self._read
@@ -114,7 +114,9 @@
     for zone in zones:
         for text in reader.text("vms", zone).split():
             if not text.isdigit() or not 1 <= int(text) <= 1000:
-                reader.fault("vms", f"{zone}: size {text!r} is not from 1 to 1000")
+                reader.fault(
+                    "vms", f"{zone}: size {text!r} is not an integer from 1 to 1000"
+                )
                 continue
             found.append(scenario.Vm(f"vm{len(found) + 1}", zone, int(text)))
     return tuple(found)
@@ -167,19 +169,24 @@
     return scenario.Event(at_ms, kind, reader.text(section, "subject"))
 
 
-def _check(reader: _Reader, read: scenario.Scenario) -> None:
+def _check(reader: _Reader, parsed: scenario.Scenario) -> None:
     reader.faults += reader.unread()
-    if not read.vms:
-        reader.fault("vms", "a scenario needs at least one")
-    if not read.targets:
-        reader.fault("target", "a scenario needs at least one")
-    if not sum(item.share for item in read.works):
-        reader.fault("work", "a scenario needs at least one with a share")
-    known = {item.name for item in read.vms} | {item.zone for item in read.vms}
-    known |= {item.name for item in read.targets}
-    known |= {item.zone for item in read.targets}
-    for event in read.events:
+    if not parsed.vms:
+        reader.fault("vms", "a scenario needs at least one VM")
+    if not parsed.targets:
+        reader.fault("target", "a scenario needs at least one target")
+    if not sum(item.share for item in parsed.works):
+        reader.fault(
+            "work", "a scenario needs at least one kind of work with a share above 0"
+        )
+    known = {item.name for item in parsed.vms} | {item.zone for item in parsed.vms}
+    known |= {item.name for item in parsed.targets}
+    known |= {item.zone for item in parsed.targets}
+    for event in parsed.events:
         if event.subject not in known:
-            reader.fault("event", f"subject {event.subject!r} is not in the scenario")
-    if read.load.hot_callers > read.load.callers:
-        reader.fault("load", "hot_callers is above callers")
+            reader.fault(
+                "event",
+                f"subject {event.subject!r} is no VM, target or zone of the scenario",
+            )
+    if parsed.load.hot_callers > parsed.load.callers:
+        reader.fault("load", "hot_callers is greater than callers")
--- a/eelgrasswick/emulation/work.py
+++ b/eelgrasswick/emulation/work.py
@@ -1,98 +1,104 @@
-"""What a home has lately placed on each target.
+"""Counts of the flows that a home recently placed on each target.
 
-Load pattern: most flows are short, so that at any moment few are open. Counts
-of open flows are then zero or one, which says nothing about who got more work;
-plain hashing decides alone, and with a few dozen flows a target of little
-strength gets a third more than its share. A count of recent starts that fades
-still knows it.
+Load pattern: most flows are short, so that at any moment few are open. Counts of
+open flows are then zero or one and do not show which target got more work. Hashing
+alone would decide, and with a few dozen flows a target of little strength would get
+a third more than its share. A count of recent starts that decays with time still
+shows the difference.
 
-``FADE_MS`` is long against the second between load reports, so that a stale
-report misses at most a tenth of the count, and short against the minutes in
-which load moves.
+``DECAY_MS`` is long compared with the second between load reports, so that a stale
+report misses at most a tenth of the count, and short compared with the minutes in
+which load moves from one target to another.
 """
 
 import collections
 import math
 import typing
 
+# Time constant of the decay of the counts.
 DECAY_MS: typing.Final = 10_000
 YOUNG_MS: typing.Final = 2000
-_NEGLIGIBLE: typing.Final = 0.01
+_NEGLIGIBLE_FLOWS: typing.Final = 0.01
 
 
-class _Start(typing.NamedTuple):
+class _Placed(typing.NamedTuple):
     at_ms: int
-    name: str
+    target: str
 
 
-class _Faded(typing.NamedTuple):
+class _DecayedCount(typing.NamedTuple):
     at_ms: int
     flows: float
 
 
-_NONE: typing.Final = _Faded(0, 0.0)
+_NONE: typing.Final = _DecayedCount(0, 0.0)
 
 
 class RecentFlowTracker:
-    """Young flows and recent starts of each target, as one home placed them.
+    """Young flows and recent starts of each target, as placed by one home.
 
-    A flow is young for ``YOUNG_MS``. An older one is a board or a download: it
-    takes a connection of the target but seldom a work slot, so it must not keep
-    short requests out.
+    A flow is young for ``YOUNG_MS`` after its start. An older one is a live board or a
+    download. Such a flow occupies a connection of the target but seldom a work slot,
+    so the home does not count it against short requests.
     """
 
     def __init__(self) -> None:
-        """Start without flows."""
-        self._young: dict[bytes, _Start] = {}
-        self._busy: collections.Counter[str] = collections.Counter()
-        self._recent: dict[str, _Faded] = {}
+        """Create a tracker without flows."""
+        self._young_by_flow: dict[bytes, _Placed] = {}
+        self._young_counts: collections.Counter[str] = collections.Counter()
+        self._recent_by_target: dict[str, _DecayedCount] = {}
 
-    def begin(self, now_ms: int, flow: bytes, name: str) -> None:
-        """Note that a flow was placed on a target."""
+    def begin(self, now_ms: int, flow: bytes, target: str) -> None:
+        """Record that a flow was placed on a target."""
         self.end(flow)
-        self._young[flow] = _Start(now_ms, name)
-        self._busy[name] += 1
-        self._recent[name] = _Faded(now_ms, self.recent_flows(now_ms, name) + 1)
-
-    def move(self, now_ms: int, flow: bytes, name: str) -> None:
-        """Note that a flow went to another target before any work."""
-        before = self._young.get(flow)
+        self._young_by_flow[flow] = _Placed(now_ms, target)
+        self._young_counts[target] += 1
+        self._recent_by_target[target] = _DecayedCount(
+            now_ms, self.recent_flows(now_ms, target) + 1
+        )
+
+    def move(self, now_ms: int, flow: bytes, target: str) -> None:
+        """Record that a flow moved to another target before any work was done."""
+        before = self._young_by_flow.get(flow)
         if before is not None:
-            count = max(0.0, self.recent_flows(now_ms, before.name) - 1)
-            self._recent[before.name] = _Faded(now_ms, count)
-        self.begin(now_ms, flow, name)
+            count = max(0.0, self.recent_flows(now_ms, before.target) - 1)
+            self._recent_by_target[before.target] = _DecayedCount(now_ms, count)
+        self.begin(now_ms, flow, target)
 
     def end(self, flow: bytes) -> None:
-        """Note that a flow has ended, or is no longer this home's."""
-        start = self._young.pop(flow, None)
-        if start is not None:
-            self._busy[start.name] -= 1
+        """Record that a flow has ended or has left this home."""
+        placed = self._young_by_flow.pop(flow, None)
+        if placed is not None:
+            self._young_counts[placed.target] -= 1
 
     def tick(self, now_ms: int) -> list[str]:
-        """Let flows grow old; return the target of each that did."""
-        aged: list[str] = []
-        while self._young:
-            flow, start = next(iter(self._young.items()))
-            if now_ms - start.at_ms < YOUNG_MS:
+        """Stop tracking flows that are no longer young; return the target of each."""
+        grown_old: list[str] = []
+        while self._young_by_flow:
+            flow, placed = next(iter(self._young_by_flow.items()))
+            if now_ms - placed.at_ms < YOUNG_MS:
                 break
             self.end(flow)
-            aged.append(start.name)
-        return aged
+            grown_old.append(placed.target)
+        return grown_old
 
-    def young_flows(self, name: str) -> int:
-        """Return the young flows of a target that have not ended."""
-        return self._busy[name]
+    def young_flows(self, target: str) -> int:
+        """Return the number of a target's young flows that have not ended."""
+        return self._young_counts[target]
 
-    def recent_flows(self, now_ms: int, name: str) -> float:
-        """Return the faded count of flows placed on a target."""
-        faded = self._recent.get(name, _NONE)
-        return faded.flows * math.exp(-(now_ms - faded.at_ms) / DECAY_MS)
+    def recent_flows(self, now_ms: int, target: str) -> float:
+        """Return the decayed count of flows placed on a target."""
+        decayed = self._recent_by_target.get(target, _NONE)
+        return decayed.flows * math.exp(-(now_ms - decayed.at_ms) / DECAY_MS)
 
     def recent_flow_tenths(self, now_ms: int) -> dict[str, int]:
-        """Return ten times the counts, and drop those that are about zero."""
-        counts = {name: self.recent_flows(now_ms, name) for name in self._recent}
-        for name, count in counts.items():
-            if count < _NEGLIGIBLE:
-                del self._recent[name]
-        tenths = {name: round(count * 10) for name, count in counts.items()}
-        return {name: count for name, count in tenths.items() if count}
+        """Return ten times each decayed count; drop counts close to zero."""
+        counts = {
+            target: self.recent_flows(now_ms, target)
+            for target in self._recent_by_target
+        }
+        for target, count in counts.items():
+            if count < _NEGLIGIBLE_FLOWS:
+                del self._recent_by_target[target]
+        tenths = {target: round(count * 10) for target, count in counts.items()}
+        return {target: count for target, count in tenths.items() if count}
