--- a/eelgrasswick/emulation/emulated_caller.py
+++ b/eelgrasswick/emulation/emulated_caller.py
@@ -1,4 +1,4 @@
-"""A stand-in for callers: they open flows, check answers and keep a history."""
+"""Emulated callers, which open flows, verify answers and record how flows end."""
 
 import enum
 import random
@@ -15,7 +15,7 @@
 GIVE_UP_MS: typing.Final = 20_000
 DATAGRAM_RETRY_MS: typing.Final = 400
 _FIRST_PORT: typing.Final = 1024
-_PORTS: typing.Final = 64_000
+_PORT_COUNT: typing.Final = 64_000
 
 
 class End(enum.Enum):
@@ -29,17 +29,17 @@
 
 
 class FlowRecord(typing.NamedTuple):
-    """One flow as its caller saw it.
+    """How one flow went, as observed by its caller.
 
     Attributes:
         number: Request number.
-        service: Service that was called.
+        service: Service that the caller requested.
         target: Target that answered; empty when none did.
-        began_ms: When the flow began.
-        first_ms: Time to the first byte of the answer; -1 without an answer.
-        ended_ms: When it ended.
-        end: How it ended.
-        detail: What a refusal said, or why the flow broke.
+        began_ms: Time at which the flow began.
+        first_byte_ms: Time to the first byte of the answer; -1 without an answer.
+        ended_ms: Time at which the flow ended.
+        end: How the flow ended.
+        detail: Text of the refusal, or the reason why the flow broke.
         flow: The flow, as ``packet.FlowKey`` prints it.
     """
 
@@ -54,8 +54,8 @@
     flow: str
 
 
-class _Exchange:
-    """One request over UDP, repeated until its reply comes."""
+class _UdpExchange:
+    """One request over UDP, which is retransmitted until its reply arrives."""
 
     __slots__ = ("began_ms", "payload", "request", "sent_ms")
 
@@ -72,8 +72,8 @@
     __slots__ = (
         "began_ms",
         "body",
-        "first_ms",
-        "heard_ms",
+        "first_byte_ms",
+        "last_data_ms",
         "reply",
         "request",
         "stream",
@@ -88,38 +88,43 @@
         self.request = request
         self.stream = stream
         self.began_ms = now_ms
-        self.heard_ms = now_ms
-        self.first_ms = -1
+        self.last_data_ms = now_ms
+        self.first_byte_ms = -1
         self.reply: emulated_target.Reply | None = None
         self.body = b""
 
 
 class Callers:
-    """Many callers behind one fabric.
+    """Callers with many addresses behind one fabric.
 
     Attributes:
-        histories: The flows that have ended.
-        outgoing: Packets for the fabric; the owner takes them.
+        records: The flows that have ended.
+        outgoing: Packets for the fabric, which the owner sends and removes.
     """
 
     def __init__(self, rng: random.Random, addresses: int = 32) -> None:
-        """Call from a number of addresses in 10.9.0.0/16."""
+        """Create callers without flows.
+
+        Args:
+            rng: Source of initial sequence numbers.
+            addresses: Number of caller addresses, in 10.9.0.0/16.
+        """
         self.records: list[FlowRecord] = []
         self.outgoing: list[bytes] = []
         self._rng = rng
         self._addresses = addresses
         self._flows: dict[packet.FlowKey, _Flow] = {}
-        self._exchanges: dict[packet.FlowKey, _Exchange] = {}
+        self._udp_exchanges: dict[packet.FlowKey, _UdpExchange] = {}
         self._opened = 0
 
     @property
     def open_flows(self) -> int:
         """Flows that have not ended."""
-        return len(self._flows) + len(self._exchanges)
+        return len(self._flows) + len(self._udp_exchanges)
 
     def has_flow(self, key: packet.FlowKey) -> bool:
-        """Tell whether a flow is open."""
-        return key in self._flows or key in self._exchanges
+        """Return whether a flow is open."""
+        return key in self._flows or key in self._udp_exchanges
 
     def call(
         self,
@@ -129,19 +134,19 @@
         caller: int | None = None,
         port: int | None = None,
     ) -> packet.FlowKey:
-        """Open a flow, send a request and expect its whole answer.
+        """Open a flow over TCP and send a request on it.
 
         Args:
             now_ms: Present time in milliseconds.
-            service: Address to call.
-            request: What to ask for.
-            caller: Number of the caller address; the next in turn if None.
-            port: Port of the caller; a port not used lately if None.
+            service: Address of the service.
+            request: The request.
+            caller: Index of the caller's address; the next in turn if None.
+            port: Port of the caller; a port not used recently if None.
 
         Returns:
             The flow.
         """
-        local = self._local(caller, port)
+        local = self._choose_address(caller, port)
         initial = self._rng.randrange(1, 2**30)
         stream = emulated_stream.Stream(local, service, initial, now_ms)
         stream.send(now_ms, msgspec.json.encode(request) + b"\n")
@@ -158,59 +163,59 @@
         caller: int | None = None,
         port: int | None = None,
     ) -> packet.FlowKey:
-        """Send a request over UDP; the arguments are those of ``call``."""
-        local = self._local(caller, port)
+        """Send a request over UDP; see ``call`` for the arguments."""
+        local = self._choose_address(caller, port)
         payload = packet.build_udp(local, service, msgspec.json.encode(request))
         key = packet.FlowKey(packet.Protocol.UDP, *local, *service)
-        self._exchanges[key] = _Exchange(request, payload, now_ms)
+        self._udp_exchanges[key] = _UdpExchange(request, payload, now_ms)
         self.outgoing.append(payload)
         return key
 
-    def _local(self, caller: int | None, port: int | None) -> packet.Address:
+    def _choose_address(self, caller: int | None, port: int | None) -> packet.Address:
         index = self._opened % self._addresses if caller is None else caller
         ip = bytes((10, 9, index // 250, index % 250 + 1))
-        chosen = _FIRST_PORT + self._opened % _PORTS if port is None else port
+        chosen = _FIRST_PORT + self._opened % _PORT_COUNT if port is None else port
         self._opened += 1
         return packet.Address(ip, chosen)
 
     def unreachable(self, now_ms: int, key: packet.FlowKey) -> None:
-        """Handle an ICMP refusal of a datagram."""
-        found = self._exchanges.pop(key, None)
-        if found is not None:
-            self._answered(now_ms, key, found, "", End.REFUSED, "icmp")
+        """Process an ICMP refusal of a datagram."""
+        exchange = self._udp_exchanges.pop(key, None)
+        if exchange is not None:
+            self._record_udp_end(now_ms, key, exchange, "", End.REFUSED, "icmp")
 
-    def _reply(self, now_ms: int, item: packet.Packet) -> None:
+    def _on_datagram(self, now_ms: int, item: packet.Packet) -> None:
         key = item.answer_key()
-        found = self._exchanges.get(key)
-        if found is None:
+        exchange = self._udp_exchanges.get(key)
+        if exchange is None:
             return
         data = item.raw[len(item.raw) - item.payload_bytes :]
         reply = msgspec.json.decode(data, type=emulated_target.Reply)
-        if reply.number != found.request.number:
-            # Late answer to an earlier request from the same port.
+        if reply.number != exchange.request.number:
+            # This is a late answer to an earlier request from the same port.
             return
-        del self._exchanges[key]
-        right = reply.service == found.request.service
-        end = End.WHOLE if right else End.WRONG_SERVICE
-        self._answered(now_ms, key, found, reply.target, end, "")
+        del self._udp_exchanges[key]
+        right_service = reply.service == exchange.request.service
+        end = End.WHOLE if right_service else End.WRONG_SERVICE
+        self._record_udp_end(now_ms, key, exchange, reply.target, end, "")
 
-    def _answered(
+    def _record_udp_end(
         self,
         now_ms: int,
         key: packet.FlowKey,
-        found: _Exchange,
+        exchange: _UdpExchange,
         target: str,
         end: End,
         detail: str,
     ) -> None:
-        first_ms = now_ms - found.began_ms if target else -1
+        first_byte_ms = now_ms - exchange.began_ms if target else -1
         self.records.append(
             FlowRecord(
-                found.request.number,
-                found.request.service,
+                exchange.request.number,
+                exchange.request.service,
                 target,
-                found.began_ms,
-                first_ms,
+                exchange.began_ms,
+                first_byte_ms,
                 now_ms,
                 end,
                 detail,
@@ -218,19 +223,19 @@
             )
         )
 
-    def _repeat(self, now_ms: int) -> None:
-        for key, found in list(self._exchanges.items()):
-            if now_ms - found.began_ms > GIVE_UP_MS:
-                del self._exchanges[key]
-                self._answered(now_ms, key, found, "", End.BROKEN, "silence")
-            elif now_ms - found.sent_ms >= DATAGRAM_RETRY_MS:
-                found.sent_ms = now_ms
-                self.outgoing.append(found.payload)
+    def _retransmit_datagrams(self, now_ms: int) -> None:
+        for key, exchange in list(self._udp_exchanges.items()):
+            if now_ms - exchange.began_ms > GIVE_UP_MS:
+                del self._udp_exchanges[key]
+                self._record_udp_end(now_ms, key, exchange, "", End.BROKEN, "silence")
+            elif now_ms - exchange.sent_ms >= DATAGRAM_RETRY_MS:
+                exchange.sent_ms = now_ms
+                self.outgoing.append(exchange.payload)
 
     def receive(self, now_ms: int, item: packet.Packet) -> None:
-        """Handle a packet from the fabric."""
+        """Process a packet from the fabric."""
         if item.protocol == packet.Protocol.UDP:
-            self._reply(now_ms, item)
+            self._on_datagram(now_ms, item)
             return
         key = item.answer_key()
         flow = self._flows.get(key)
@@ -239,65 +244,66 @@
                 self.outgoing.append(emulated_stream.reset_for(item))
             return
         flow.stream.receive(now_ms, item)
-        self._read(now_ms, flow)
+        self._read_answer(now_ms, flow)
         self._collect(flow.stream)
-        self._check(now_ms, key, flow)
+        self._check_end(now_ms, key, flow)
 
     def tick(self, now_ms: int) -> None:
-        """Repeat packets and give up on flows that stand still."""
-        self._repeat(now_ms)
+        """Retransmit packets and end flows that got no data for ``GIVE_UP_MS``."""
+        self._retransmit_datagrams(now_ms)
         for key, flow in list(self._flows.items()):
             flow.stream.tick(now_ms)
             self._collect(flow.stream)
-            silent = now_ms - flow.heard_ms > GIVE_UP_MS
+            silent = now_ms - flow.last_data_ms > GIVE_UP_MS
             if silent and flow.stream.peer_closed:
-                self._end(now_ms, key, flow, *_judge(flow))
+                self._record_end(now_ms, key, flow, *_verify_answer(flow))
             elif silent:
-                self._end(now_ms, key, flow, End.BROKEN, "silence")
+                self._record_end(now_ms, key, flow, End.BROKEN, "silence")
             else:
-                self._check(now_ms, key, flow)
+                self._check_end(now_ms, key, flow)
 
     def finish(self, now_ms: int) -> None:
         """End all open flows as unfinished."""
         for key, flow in list(self._flows.items()):
-            self._end(now_ms, key, flow, End.UNFINISHED, "")
-        for key, found in list(self._exchanges.items()):
-            del self._exchanges[key]
-            self._answered(now_ms, key, found, "", End.UNFINISHED, "")
+            self._record_end(now_ms, key, flow, End.UNFINISHED, "")
+        for key, exchange in list(self._udp_exchanges.items()):
+            del self._udp_exchanges[key]
+            self._record_udp_end(now_ms, key, exchange, "", End.UNFINISHED, "")
 
-    def _read(self, now_ms: int, flow: _Flow) -> None:
+    def _read_answer(self, now_ms: int, flow: _Flow) -> None:
         data = flow.stream.take()
         if not data:
             return
-        flow.heard_ms = now_ms
-        if flow.first_ms < 0:
-            flow.first_ms = now_ms - flow.began_ms
+        flow.last_data_ms = now_ms
+        if flow.first_byte_ms < 0:
+            flow.first_byte_ms = now_ms - flow.began_ms
         flow.body += data
         if flow.reply is None and b"\n" in flow.body:
             line, _, flow.body = flow.body.partition(b"\n")
             flow.reply = msgspec.json.decode(line, type=emulated_target.Reply)
 
-    def _check(self, now_ms: int, key: packet.FlowKey, flow: _Flow) -> None:
+    def _check_end(self, now_ms: int, key: packet.FlowKey, flow: _Flow) -> None:
         stream = flow.stream
         if stream.peer_closed:
-            # All bytes and the end have come; what follows can't spoil them.
-            self._finished(now_ms, key, flow)
+            # All bytes and the FIN have arrived, so that no later packet can break the
+            # flow.
+            self._close_and_record(now_ms, key, flow)
         elif stream.reset:
             refused = b"kind=" in stream.reset_data
             end = End.REFUSED if refused else End.BROKEN
             detail = stream.reset_data.decode(errors="replace") or "reset"
-            self._end(now_ms, key, flow, end, detail)
+            self._record_end(now_ms, key, flow, end, detail)
         elif stream.gave_up:
-            self._end(now_ms, key, flow, End.BROKEN, "gave up")
+            self._record_end(now_ms, key, flow, End.BROKEN, "gave up")
 
-    def _finished(self, now_ms: int, key: packet.FlowKey, flow: _Flow) -> None:
+    def _close_and_record(self, now_ms: int, key: packet.FlowKey, flow: _Flow) -> None:
         flow.stream.close(now_ms)
         self._collect(flow.stream)
         if flow.stream.closed or flow.stream.drained:
-            end, detail = _judge(flow)
-            self._end(now_ms, key, flow, end, detail)
+            end, detail = _verify_answer(flow)
+            self._record_end(now_ms, key, flow, end, detail)
 
-    def _end(
+    def _record_end(
         self, now_ms: int, key: packet.FlowKey, flow: _Flow, end: End, detail: str
     ) -> None:
         del self._flows[key]
@@ -307,7 +313,7 @@
                 flow.request.service,
                 flow.reply.target if flow.reply is not None else "",
                 flow.began_ms,
-                flow.first_ms,
+                flow.first_byte_ms,
                 now_ms,
                 end,
                 detail,
@@ -320,7 +326,7 @@
         stream.outgoing.clear()
 
 
-def _judge(flow: _Flow) -> tuple[End, str]:
+def _verify_answer(flow: _Flow) -> tuple[End, str]:
     reply = flow.reply
     if reply is None:
         return End.BROKEN, "closed without an answer"
@@ -329,7 +335,7 @@
     if reply.number != flow.request.number:
         return End.BROKEN, f"answer of request {reply.number}"
     size = flow.request.part_bytes
-    part = flow.request.number.to_bytes(8, "big") * (size // 8)
-    if flow.body != part.ljust(size, b".") * flow.request.parts:
-        return End.BROKEN, f"body of {len(flow.body)} bytes is not whole"
+    pattern = flow.request.number.to_bytes(8, "big") * (size // 8)
+    if flow.body != pattern.ljust(size, b".") * flow.request.parts:
+        return End.BROKEN, f"body of {len(flow.body)} bytes is incomplete or wrong"
     return End.WHOLE, ""
--- a/eelgrasswick/emulation/emulated_target.py
+++ b/eelgrasswick/emulation/emulated_target.py
@@ -1,8 +1,8 @@
-"""A stand-in for a target: a server of one service with few work slots.
+"""Emulated target: a server of one service with few work slots.
 
-It speaks TCP through ``emulated_stream`` and UDP. A request is one line of
-JSON; the answer is one line of JSON and a body. It knows every request it ran,
-so that a bench can find requests that ran twice or at the wrong service.
+It uses UDP, and TCP by ``emulated_stream``. A request is one line of JSON; the answer
+is one line of JSON and a body. The target records every request that it ran, so that
+tests can find requests that ran twice or at the wrong service.
 """
 
 import collections
@@ -16,15 +16,15 @@
 
 
 class Request(typing.NamedTuple):
-    """What a caller asks for.
+    """A request of a caller, a JSON array on the wire.
 
     Attributes:
-        number: Unique over the whole run.
-        service: Service the caller meant.
-        work_ms: Work on a target of speed 1.
-        answer_bytes: Size of each part of the answer.
-        parts: Number of parts; more than one makes a live board or download.
-        every_ms: Time between parts.
+        number: Number that is unique in a run.
+        service: Service that the caller requested.
+        work_ms: Time that the work takes on a target of speed 1.
+        part_bytes: Size of each part of the answer.
+        parts: Number of parts; a live board or a download has more than one.
+        part_interval_ms: Time between parts.
     """
 
     number: int
@@ -36,7 +36,14 @@
 
 
 class Reply(typing.NamedTuple):
-    """The line in front of the answer's body."""
+    """The line in front of the body of an answer, a JSON array on the wire.
+
+    Attributes:
+        number: Number of the request.
+        service: Service that the target works for.
+        target: Name of the target.
+        total_bytes: Size of the body.
+    """
 
     number: int
     service: str
@@ -45,12 +52,12 @@
 
 
 class WorkStart(typing.NamedTuple):
-    """A request that a target began to work on.
+    """The arrival of a request that a target runs.
 
     Attributes:
-        at_ms: When.
-        number: Request number.
-        flow: The flow on which it came.
+        at_ms: Time at which the target took the request.
+        number: Number of the request.
+        flow: Flow on which the request arrived.
     """
 
     at_ms: int
@@ -59,15 +66,15 @@
 
 
 class Model(typing.NamedTuple):
-    """How a target behaves.
+    """Properties of a target.
 
     Attributes:
-        name: Its name in the rules.
+        name: Its name in the rules file.
         service: The service it works for.
-        slots: Requests it works on at once.
-        connections: Open connections it holds; it sheds above.
-        speed: Work done per unit of time; 1 is normal.
-        cold_ms: After its start it is slow for so long.
+        slots: Requests that it works on at once.
+        connections: Open connections that it accepts; it resets further ones.
+        speed: Work done per slot and unit of time; 1 is normal.
+        cold_ms: For how long it is slow after its start.
     """
 
     name: str
@@ -88,28 +95,29 @@
         self.parts_left = request.parts
 
 
-class _Lingering(typing.NamedTuple):
+class _ClosedStream(typing.NamedTuple):
     until_ms: int
     key: packet.FlowKey
     stream: emulated_stream.Stream
 
 
 TIME_WAIT_MS: typing.Final = 60_000
-_COLD_SPEED: typing.Final = 0.3
+_COLD_SPEED_FACTOR: typing.Final = 0.3
 
 
 class Target:
     """One emulated target.
 
     Attributes:
-        executed: How often each request number was begun.
-        begun: Every start of work since the owner last cleared the list.
-        wrong_service: Requests that were meant for another service.
-        outgoing: Packets to callers; the owner takes them.
+        executed: How often each request was begun, by its number.
+        work_starts: Every request begun since the owner last cleared the list.
+        wrong_service: Number of requests that were meant for another service.
+        max_open: Most connections that were open at once.
+        outgoing: Packets to callers, which the owner sends and removes.
     """
 
     def __init__(self, model: Model, now_ms: int, rng: random.Random) -> None:
-        """Start a target that takes connections at once."""
+        """Start a target that accepts connections from now on."""
         self.model = model
         self.executed: collections.Counter[int] = collections.Counter()
         self.work_starts: list[WorkStart] = []
@@ -119,26 +127,26 @@
         self._rng = rng
         self._started_ms = now_ms
         self._streams: dict[packet.FlowKey, emulated_stream.Stream] = {}
-        self._inputs: dict[packet.FlowKey, bytes] = {}
-        self._lingering: collections.deque[_Lingering] = collections.deque()
+        self._partial_lines: dict[packet.FlowKey, bytes] = {}
+        self._time_wait: collections.deque[_ClosedStream] = collections.deque()
         self._waiting: collections.deque[_Job] = collections.deque()
         self._working: list[_Job] = []
         self._sending: list[_Job] = []
 
     @property
     def open_flows(self) -> int:
-        """Connections that are open now."""
-        return len(self._inputs)
+        """Number of open connections."""
+        return len(self._partial_lines)
 
     @property
     def queued_requests(self) -> int:
-        """Requests that wait for a slot."""
+        """Number of requests that wait for a slot."""
         return len(self._waiting)
 
     def receive(self, now_ms: int, item: packet.Packet) -> None:
-        """Handle a packet from a caller."""
+        """Process a packet from a caller."""
         if item.protocol == packet.Protocol.UDP:
-            self._datagram(now_ms, item)
+            self._on_datagram(now_ms, item)
             return
         key = item.request_key()
         stream = self._streams.get(key)
@@ -150,17 +158,17 @@
         self._collect(now_ms, key, stream)
 
     def tick(self, now_ms: int) -> None:
-        """Do the work that is due."""
+        """Finish and start work that is due, send answers and retransmit."""
         self._finish_work(now_ms)
         self._start_work(now_ms)
         self._send_parts(now_ms)
         for key, stream in list(self._streams.items()):
             stream.tick(now_ms)
             self._collect(now_ms, key, stream)
-        while self._lingering and self._lingering[0].until_ms <= now_ms:
-            ended = self._lingering.popleft()
-            if self._streams.get(ended.key) is ended.stream:
-                del self._streams[ended.key]
+        while self._time_wait and self._time_wait[0].until_ms <= now_ms:
+            expired = self._time_wait.popleft()
+            if self._streams.get(expired.key) is expired.stream:
+                del self._streams[expired.key]
 
     def _accept(self, now_ms: int, item: packet.Packet, key: packet.FlowKey) -> None:
         full = self.open_flows >= self.model.connections
@@ -173,34 +181,34 @@
             item.destination, item.source, initial, now_ms, item
         )
         self._streams[key] = stream
-        self._inputs[key] = b""
+        self._partial_lines[key] = b""
         self.max_open = max(self.max_open, self.open_flows)
         self._collect(now_ms, key, stream)
 
     def _read(
         self, now_ms: int, key: packet.FlowKey, stream: emulated_stream.Stream
     ) -> None:
-        text = self._inputs.get(key, b"") + stream.take()
+        text = self._partial_lines.get(key, b"") + stream.take()
         *lines, rest = text.split(b"\n")
-        self._inputs[key] = rest
+        self._partial_lines[key] = rest
         for line in lines:
             request = msgspec.json.decode(line, type=Request)
-            self._note(now_ms, request, key)
+            self._record_start(now_ms, request, key)
             self._waiting.append(_Job(request, stream))
 
-    def _note(self, now_ms: int, request: Request, key: packet.FlowKey) -> None:
+    def _record_start(self, now_ms: int, request: Request, key: packet.FlowKey) -> None:
         self.executed[request.number] += 1
         self.work_starts.append(WorkStart(now_ms, request.number, key))
         if request.service != self.model.service:
             self.wrong_service += 1
 
-    def _datagram(self, now_ms: int, item: packet.Packet) -> None:
+    def _on_datagram(self, now_ms: int, item: packet.Packet) -> None:
         data = item.raw[len(item.raw) - item.payload_bytes :]
         request = msgspec.json.decode(data, type=Request)
-        # Datagrams are repeated by callers and doubled by networks. A server
-        # that takes non-idempotent requests over UDP knows the ones it ran.
+        # Callers retransmit datagrams and networks duplicate them. A server that
+        # accepts non-idempotent requests over UDP must recognise those that it ran.
         if request.number not in self.executed:
-            self._note(now_ms, request, item.request_key())
+            self._record_start(now_ms, request, item.request_key())
         reply = Reply(request.number, self.model.service, self.model.name, 0)
         self.outgoing.append(
             packet.build_udp(item.destination, item.source, msgspec.json.encode(reply))
@@ -216,7 +224,7 @@
 
     def _speed(self, now_ms: int) -> float:
         if now_ms - self._started_ms < self.model.cold_ms:
-            return self.model.speed * _COLD_SPEED
+            return self.model.speed * _COLD_SPEED_FACTOR
         return self.model.speed
 
     def _finish_work(self, now_ms: int) -> None:
@@ -224,8 +232,10 @@
         for job in done:
             self._working.remove(job)
             request = job.request
-            total = request.part_bytes * request.parts
-            reply = Reply(request.number, self.model.service, self.model.name, total)
+            total_bytes = request.part_bytes * request.parts
+            reply = Reply(
+                request.number, self.model.service, self.model.name, total_bytes
+            )
             job.stream.send(now_ms, msgspec.json.encode(reply) + b"\n")
             job.due_ms = now_ms
             self._sending.append(job)
@@ -250,8 +260,8 @@
     ) -> None:
         self.outgoing += stream.outgoing
         stream.outgoing.clear()
-        if stream.closed and self._inputs.pop(key, None) is not None:
-            # As in TIME_WAIT: a packet that was overtaken by the last FIN is
-            # no reason for a reset.
+        if stream.closed and self._partial_lines.pop(key, None) is not None:
+            # As in TIME_WAIT, the stream is kept for a while, so that a packet that
+            # arrives after the last FIN is not answered with a reset.
             until_ms = now_ms + (0 if stream.reset else TIME_WAIT_MS)
-            self._lingering.append(_Lingering(until_ms, key, stream))
+            self._time_wait.append(_ClosedStream(until_ms, key, stream))
--- a/eelgrasswick/emulation/model.py
+++ b/eelgrasswick/emulation/model.py
@@ -63,12 +63,12 @@
     """One attempt at a request, on a flow of its own.
 
     Attributes:
-        flow: Packed key of the flow.
+        flow_key: Packed key of the flow.
         request: The request.
         number: Number of the attempt, from 1.
     """
 
-    flow: bytes
+    flow_key: bytes
     request: Request
     number: int
 
@@ -123,7 +123,7 @@
         """Accept a flow; return False if it is refused at the connection limit."""
         if len(self.open_flows) >= self.model.connections:
             return False
-        self.open_flows[attempt.flow] = attempt
+        self.open_flows[attempt.flow_key] = attempt
         return True
 
     def enqueue(self, attempt: Attempt) -> None:
@@ -147,9 +147,9 @@
         self._busy_slots -= 1
         self.worked_ms += attempt.request.work.work_ms
 
-    def close(self, flow: bytes) -> None:
+    def close(self, flow_key: bytes) -> None:
         """Remove a flow."""
-        self.open_flows.pop(flow, None)
+        self.open_flows.pop(flow_key, None)
 
     def stop(self) -> list[Attempt]:
         """Stop the target; return the attempts whose flows are broken."""
--- a/eelgrasswick/emulation/outcome.py
+++ b/eelgrasswick/emulation/outcome.py
@@ -91,9 +91,9 @@
 class Tally:
     """Counts how the requests of a run end and how long they wait."""
 
-    def __init__(self, played: scenario.Scenario) -> None:
+    def __init__(self, spec: scenario.Scenario) -> None:
         """Create empty counts for the run of a scenario."""
-        self._scenario = played
+        self._scenario = spec
         self._waits: dict[str, histogram.HdrHistogram] = {}
         self.ends: collections.Counter[End] = collections.Counter()
         self._hot_ends: collections.Counter[bool] = collections.Counter()
--- a/eelgrasswick/emulation/scenario_file.py
+++ b/eelgrasswick/emulation/scenario_file.py
@@ -114,9 +114,7 @@
     for zone in zones:
         for text in reader.text("vms", zone).split():
             if not text.isdigit() or not 1 <= int(text) <= 1000:
-                reader.fault(
-                    "vms", f"{zone}: size {text!r} is not an integer from 1 to 1000"
-                )
+                reader.fault("vms", f"{zone}: size {text!r} is not from 1 to 1000")
                 continue
             found.append(scenario.Vm(f"vm{len(found) + 1}", zone, int(text)))
     return tuple(found)
@@ -176,9 +174,7 @@
     if not parsed.targets:
         reader.fault("target", "a scenario needs at least one target")
     if not sum(item.share for item in parsed.works):
-        reader.fault(
-            "work", "a scenario needs at least one kind of work with a share above 0"
-        )
+        reader.fault("work", "a scenario needs at least one work with a share above 0")
     known = {item.name for item in parsed.vms} | {item.zone for item in parsed.vms}
     known |= {item.name for item in parsed.targets}
     known |= {item.zone for item in parsed.targets}
@@ -186,7 +182,7 @@
         if event.subject not in known:
             reader.fault(
                 "event",
-                f"subject {event.subject!r} is no VM, target or zone of the scenario",
+                f"subject {event.subject!r} is not in the scenario",
             )
     if parsed.load.hot_callers > parsed.load.callers:
         reader.fault("load", "hot_callers is greater than callers")
