--- a/eelgrasswick/emulation/emulated_caller.py
+++ b/eelgrasswick/emulation/emulated_caller.py
@@ -255,7 +255,7 @@
             flow.stream.tick(now_ms)
             self._collect(flow.stream)
             silent = now_ms - flow.last_data_ms > GIVE_UP_MS
-            if silent and flow.stream.peer_closed:
+            if silent and flow.stream.remote_closed:
                 self._record_end(now_ms, key, flow, *_verify_answer(flow))
             elif silent:
                 self._record_end(now_ms, key, flow, End.BROKEN, "silence")
@@ -284,7 +284,7 @@
 
     def _check_end(self, now_ms: int, key: packet.FlowKey, flow: _Flow) -> None:
         stream = flow.stream
-        if stream.peer_closed:
+        if stream.remote_closed:
             # All bytes and the FIN have arrived, so that no later packet can break the
             # flow.
             self._close_and_record(now_ms, key, flow)
--- a/eelgrasswick/emulation/emulated_platform.py
+++ b/eelgrasswick/emulation/emulated_platform.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform's key-value store, with faults to switch on.
+"""Emulation of the platform's key-value store, with faults to inject.
 
-``EmulatedStore`` is the store itself, without network or clock of its own.
-``Site`` serves it over HTTP in the shape of the etcd v3 JSON gateway.
+``EmulatedStore`` is the store, without network and with the clock that it is given.
+``StoreResource`` serves it over HTTP with the requests of the etcd v3 JSON gateway.
 """
 
 import base64
@@ -19,14 +19,14 @@
 
 
 class Faults(typing.NamedTuple):
-    """What is wrong with the store at present.
+    """Faults of the store at present.
 
     Attributes:
-        outage: No call is answered.
-        delay_ms: Each answer comes this late.
-        lost_answers: Next transactions that take effect without an answer.
-        late_ms: Those transactions take effect this late, after the answer
-            was given up on.
+        outage: True if the store answers no call.
+        delay_ms: Delay of each answer.
+        lost_answers: Number of next transactions that take effect and get no answer.
+        late_ms: Delay with which those transactions take effect, after the caller
+            has got an error instead of an answer.
     """
 
     outage: bool = False
@@ -48,22 +48,32 @@
 
 
 class EmulatedStore(store.Store):
-    """A key-value store in memory."""
+    """A key-value store in memory.
+
+    Attributes:
+        faults: Faults at present.
+        calls: Number of calls, by method.
+        revision: Revision of the latest write.
+    """
 
     def __init__(self, clock: typing.Any) -> None:
-        """Take time from a Twisted reactor or ``task.Clock``."""
+        """Create an empty store.
+
+        Args:
+            clock: A Twisted reactor or ``task.Clock``.
+        """
         self.faults = Faults()
         self.calls: collections.Counter[str] = collections.Counter()
         self.revision = 1
         self._clock = clock
         self._entries: dict[str, _Entry] = {}
-        self._leases: dict[int, float] = {}
-        self._ttl_s: dict[int, int] = {}
+        self._expiry_s_by_lease: dict[int, float] = {}
+        self._ttl_s_by_lease: dict[int, int] = {}
         self._watchers: list[_Watcher] = []
         self._snapshot: dict[str, _Entry] = {}
 
     def set_faults(self, faults: Faults) -> None:
-        """Switch faults; an outage also ends the watches."""
+        """Replace the faults; an outage also ends all watches."""
         self.faults = faults
         if faults.outage:
             watchers, self._watchers = self._watchers, []
@@ -71,15 +81,15 @@
                 item.ended.errback(errors.StoreError("platform outage"))
 
     def mute_watches(self) -> None:
-        """Let the present watches wait on without ever passing on a change."""
+        """Keep the present watches open, but send them no further changes."""
         self._watchers = []
 
     def save(self) -> None:
-        """Take the copy that ``restore`` goes back to."""
+        """Take the snapshot that ``restore`` restores."""
         self._snapshot = dict(self._entries)
 
     def restore(self) -> None:
-        """Go back to the copy, as an operator would after losing the store."""
+        """Restore the snapshot, as an operator does after the loss of the store."""
         self._entries = dict(self._snapshot)
         self.revision += 1
         for key, item in self._entries.items():
@@ -89,17 +99,17 @@
 
     async def read(self, key: str) -> store.Row | None:
         """Read one key; see the base class."""
-        await self._enter("read")
+        await self._begin_call("read")
         return self._row(key)
 
     async def read_prefix(self, prefix: str) -> tuple[store.Row, ...]:
         """Read all keys with a prefix; see the base class."""
-        await self._enter("read_prefix")
+        await self._begin_call("read_prefix")
         return self.rows(prefix)
 
     def rows(self, prefix: str) -> tuple[store.Row, ...]:
-        """Return rows at once, without faults or counting."""
-        self._end_leases()
+        """Return all rows with a prefix at once, without faults and not counted."""
+        self._expire_leases()
         names = sorted(key for key in self._entries if key.startswith(prefix))
         return tuple(row for row in map(self._row, names) if row is not None)
 
@@ -109,16 +119,16 @@
         puts: typing.Sequence[store.Put],
     ) -> store.Committed:
         """Commit a transaction; see the base class."""
-        await self._enter("commit")
+        await self._begin_call("commit")
         if self.faults.lost_answers > 0:
             self.faults = self.faults._replace(
                 lost_answers=self.faults.lost_answers - 1
             )
-            self._write_late(compares, puts)
+            self._write_unanswered(compares, puts)
             raise errors.StoreError("answer lost")
         return self.write(compares, puts)
 
-    def _write_late(
+    def _write_unanswered(
         self,
         compares: typing.Sequence[store.Compare],
         puts: typing.Sequence[store.Put],
@@ -134,8 +144,8 @@
         compares: typing.Sequence[store.Compare],
         puts: typing.Sequence[store.Put],
     ) -> store.Committed:
-        """Commit at once, without faults or counting."""
-        self._end_leases()
+        """Commit a transaction at once, without faults and not counted."""
+        self._expire_leases()
         for item in compares:
             entry = self._entries.get(item.key)
             present = entry.revision if entry is not None else 0
@@ -150,24 +160,26 @@
 
     async def grant(self, ttl_s: int) -> int:
         """Grant a lease; see the base class."""
-        await self._enter("grant")
-        lease = len(self._ttl_s) + 1
-        self._ttl_s[lease] = ttl_s
-        self._leases[lease] = self._clock.seconds() + ttl_s
+        await self._begin_call("grant")
+        lease = len(self._ttl_s_by_lease) + 1
+        self._ttl_s_by_lease[lease] = ttl_s
+        self._expiry_s_by_lease[lease] = self._clock.seconds() + ttl_s
         return lease
 
     async def keep_alive(self, lease: int) -> bool:
         """Keep a lease alive; see the base class."""
-        await self._enter("keep_alive")
-        self._end_leases()
-        if lease not in self._leases:
+        await self._begin_call("keep_alive")
+        self._expire_leases()
+        if lease not in self._expiry_s_by_lease:
             return False
-        self._leases[lease] = self._clock.seconds() + self._ttl_s[lease]
+        self._expiry_s_by_lease[lease] = (
+            self._clock.seconds() + self._ttl_s_by_lease[lease]
+        )
         return True
 
     async def watch(self, prefix: str, after: int, listener: store.Listener) -> None:
         """Watch a prefix; see the base class."""
-        await self._enter("watch")
+        await self._begin_call("watch")
         ended: defer.Deferred[None] = defer.Deferred()
         watcher = _Watcher(prefix, listener, ended)
         self._watchers.append(watcher)
@@ -182,10 +194,10 @@
 
     @property
     def open_watches(self) -> int:
-        """Number of watches that wait; each counts as a call."""
+        """Number of open watches; the opening of each counts as a call."""
         return len(self._watchers)
 
-    async def _enter(self, name: str) -> None:
+    async def _begin_call(self, name: str) -> None:
         self.calls[name] += 1
         if self.faults.delay_ms:
             await task.deferLater(self._clock, self.faults.delay_ms / 1000)
@@ -206,23 +218,27 @@
             if key.startswith(item.prefix):
                 item.listener((row,))
 
-    def _end_leases(self) -> None:
+    def _expire_leases(self) -> None:
         now_s = self._clock.seconds()
-        ended = {lease for lease, until_s in self._leases.items() if until_s <= now_s}
-        for lease in ended:
-            del self._leases[lease]
+        expired = {
+            lease
+            for lease, expiry_s in self._expiry_s_by_lease.items()
+            if expiry_s <= now_s
+        }
+        for lease in expired:
+            del self._expiry_s_by_lease[lease]
         for key, item in list(self._entries.items()):
-            if item.lease in ended:
+            if item.lease in expired:
                 del self._entries[key]
 
 
 class StoreResource(resource.Resource):
-    """Serves an emulated store and, under ``/emulator``, its switches."""
+    """Serves an emulated store over HTTP, and its faults under ``/emulator``."""
 
     isLeaf = True  # noqa: N815
 
     def __init__(self, emulated: EmulatedStore) -> None:
-        """Serve one store."""
+        """Create the resource of a store."""
         super().__init__()
         self._store = emulated
         self._handlers: dict[bytes, typing.Callable[[typing.Any], typing.Any]] = {
@@ -233,15 +249,15 @@
         }
 
     def render_GET(self, request: typing.Any) -> bytes:  # noqa: N802
-        """Return the call counts."""
+        """Return the call counts as JSON."""
         counts = {**self._store.calls, "watching": self._store.open_watches}
         return json.dumps(counts).encode()
 
     def render_POST(self, request: typing.Any) -> bytes | int:  # noqa: N802
-        """Serve one call."""
+        """Process a call to the store, or a change of its faults."""
         body = json.loads(request.content.read())
         if request.path == b"/emulator":
-            return self._switch(body)
+            return self._apply_control(body)
         if request.path == b"/v3/watch":
             self._watch(request, body["create_request"])
             return server.NOT_DONE_YET
@@ -250,11 +266,11 @@
             request.setResponseCode(404)
             return b"{}"
         done = defer.Deferred.fromCoroutine(handler(body))
-        done.addCallback(_finish, request)
-        done.addErrback(_drop, request)
+        done.addCallback(_send_answer, request)
+        done.addErrback(_abort_connection, request)
         return server.NOT_DONE_YET
 
-    def _switch(self, body: typing.Any) -> bytes:
+    def _apply_control(self, body: typing.Any) -> bytes:
         for key, value in body.pop("put", {}).items():
             self._store.write((), (store.Put(key, json.dumps(value).encode()),))
         if body.pop("save", False):
@@ -314,21 +330,21 @@
                 _decode(create["key"]), int(create["start_revision"]) - 1, listener
             )
         )
-        watching.addErrback(_drop, request)
+        watching.addErrback(_abort_connection, request)
         request.notifyFinish().addErrback(lambda _: watching.cancel())
 
     def _answer(self, **fields: typing.Any) -> typing.Any:
         return {"header": {"revision": str(self._store.revision)}, **fields}
 
 
-def _finish(answer: typing.Any, request: typing.Any) -> None:
+def _send_answer(answer: typing.Any, request: typing.Any) -> None:
     if request.channel is not None:
         request.write(json.dumps(answer).encode())
         request.finish()
 
 
-def _drop(failure: typing.Any, request: typing.Any) -> None:
-    # An outage looks like a connection that ends without an answer.
+def _abort_connection(failure: typing.Any, request: typing.Any) -> None:
+    # During an outage the connection ends without an answer.
     failure.trap(errors.StoreError, defer.CancelledError)
     if request.channel is not None:
         request.channel.forceAbortClient()
