--- a/eelgrasswick/emulation/cookie_load.py
+++ b/eelgrasswick/emulation/cookie_load.py
@@ -1,9 +1,10 @@
-"""Loads on flows that name their target, in virtual time.
+"""Simulation of loads on flows that carry a cookie of their target.
 
-Real steering, with its placement, silence, liveness and reports, is driven by
-callers and targets that are models: a caller opens a long flow, asks, pauses and
-asks again; a target has slots, a speed and a short queue. A seed decides all
-random choices, so one load can be played under two settings and compared.
+The steering of the product, with its placement, detection of silent targets, liveness
+and reports, runs in virtual time with models of callers and targets. A caller opens a
+long flow, sends a request, pauses and sends the next one. A target has slots, a speed
+and a short queue. A seed decides all random choices, so that a load can be run with two
+settings and the results compared.
 """
 
 import collections
@@ -14,25 +15,27 @@
 from eelgrasswick.emulation import agenda, cookie_scenario, packets, steered_fleet
 
 HOP_MS: typing.Final = 1
-SYN_AFTER_MS: typing.Final = (0, 200, 600)
-OPEN_MS: typing.Final = 1400
-RESEND_MS: typing.Final = 200
-QUEUE: typing.Final = 8
-_REFUSED: typing.Final = frozenset(
+# Times after which a caller sends an opening packet and its retransmissions.
+SYN_DELAYS_MS: typing.Final = (0, 200, 600)
+OPEN_TIMEOUT_MS: typing.Final = 1400
+RETRANSMIT_MS: typing.Final = 200
+# Requests that a target queues beyond those it works on; it refuses further ones.
+QUEUE_LIMIT: typing.Final = 8
+_REFUSALS: typing.Final = frozenset(
     {steering.Outcome.NO_TARGET, steering.Outcome.EVACUATED, steering.Outcome.COLD}
 )
 
 
 class Result(typing.NamedTuple):
-    """What callers got.
+    """Results of a run, as observed by callers.
 
     Attributes:
-        asked: Requests.
-        in_time: Part answered within the aim.
-        served: Part answered at all.
-        p99_ms: Time within which 99% of the answers came.
-        busiest: Requests at the busiest target for its strength over the mean.
-        crossed: Part of the flows that were placed in another zone.
+        asked: Number of requests.
+        in_time: Share of ended requests answered within the objective.
+        served: Share of ended requests that were answered.
+        p99_ms: The 99th percentile of the times to an answer.
+        busiest: Requests of the busiest target over the mean, relative to strength.
+        crossed: Share of the flows that were placed in a zone other than the caller's.
     """
 
     asked: int
@@ -47,8 +50,8 @@
     """How a request ended.
 
     Attributes:
-        at_ms: When.
-        took_ms: Time from its first try to the answer; None without one.
+        at_ms: Virtual time at which it ended.
+        took_ms: Time from its first attempt to the answer; None without an answer.
     """
 
     at_ms: int
@@ -56,12 +59,12 @@
 
 
 class Opening(typing.NamedTuple):
-    """A flow that a target took.
+    """The opening of a flow that a target accepted.
 
     Attributes:
-        at_ms: When.
-        target: Number of the target.
-        cold: True when it had just started.
+        at_ms: Virtual time of the opening.
+        target: Index of the target.
+        cold: True if the target had recently started.
     """
 
     at_ms: int
@@ -77,29 +80,29 @@
         self.silent = False
         self.hangs = False
         self.cold_until_ms = 0
-        self.busy = 0
+        self.busy_slots = 0
         self.queue: collections.deque[_Flow] = collections.deque()
-        self.ran = 0
+        self.requests_begun = 0
 
 
 class _Flow:
-    def __init__(self, port: int, zone: str, vm: int, left: int) -> None:
+    def __init__(self, port: int, zone: str, vm: int, requests: int) -> None:
         self.port = port
         self.zone = zone
         self.vm = vm
-        self.left = left
+        self.requests_left = requests
         self.target: _Target | None = None
         self.cookie = 0
         self.sequence = 1
         self.acknowledged = 0
-        self.asked_ms = 0
-        self.waiting = 0
-        self.arrived = 0
+        self.began_ms = 0
+        self.request_number = 0
+        self.arrived_number = 0
         self.ended = False
 
 
 class Simulation:
-    """One run of a load."""
+    """A run of a load."""
 
     def __init__(
         self,
@@ -108,20 +111,20 @@
         seed: int,
         vms_per_zone: int = 3,
     ) -> None:
-        """Prepare a run.
+        """Create the fleet, targets and callers of a run.
 
         Args:
-            load: What is played.
-            wire: Reads and writes packets.
-            seed: Decides all random choices.
-            vms_per_zone: Entry VMs in each zone.
+            load: The load to run.
+            wire: Decodes and encodes packets.
+            seed: Seed of all random choices.
+            vms_per_zone: Number of entry VMs in each zone.
         """
         self._load = load
         self._rng = random.Random(seed)
-        self._due = agenda.Scheduler()
+        self._scheduler = agenda.Scheduler()
         self._targets = [_Target(n, item) for n, item in enumerate(load.servers)]
         self._fleet = steered_fleet.Fleet(
-            self._due,
+            self._scheduler,
             cookie_scenario.Reader(load.servers, load.service),
             wire,
             self._targets,
@@ -130,203 +133,213 @@
         )
         self._ends: list[End] = []
         self._openings: list[Opening] = []
-        self._asked = self._opened = self._crossed = 0
-        self._port = 1000
+        self._request_count = self._accepted_count = self._cross_zone_count = 0
+        self._last_port = 1000
 
     @property
     def ends(self) -> typing.Sequence[End]:
-        """How all requests ended, in order."""
+        """How the requests ended, in the order of their ends."""
         return self._ends
 
     @property
     def openings(self) -> typing.Sequence[Opening]:
-        """All flows that targets took, in order."""
+        """All flows that targets accepted, in the order of their openings."""
         return self._openings
 
     def run(self) -> Result:
-        """Play the load to its end."""
+        """Run the load to its end and return the results."""
         for zone in steered_fleet.ZONES:
             for _ in range(self._load.flows_per_zone):
-                self._due.call_later(self._rng.randrange(1000), self._new_flow, zone)
-        for trouble in self._load.events:
-            self._due.call_later(trouble.at_ms, self._begin, trouble)
-        self._due.run(self._load.duration_ms)
+                self._scheduler.call_later(
+                    self._rng.randrange(1000), self._start_flow, zone
+                )
+        for event in self._load.events:
+            self._scheduler.call_later(event.at_ms, self._begin_event, event)
+        self._scheduler.run(self._load.duration_ms)
         return self._result()
 
-    def _begin(self, trouble: cookie_scenario.Event) -> None:
-        if trouble.kind == "dark":
-            self._targets[int(trouble.subject)].silent = True
-        elif trouble.kind == "hang":
-            self._targets[int(trouble.subject)].hangs = True
-        elif trouble.kind == "cut":
-            self._fleet.cut_zone = str(trouble.subject)
-        elif trouble.kind == "power_off":
+    def _begin_event(self, event: cookie_scenario.Event) -> None:
+        if event.kind == "dark":
+            self._targets[int(event.subject)].silent = True
+        elif event.kind == "hang":
+            self._targets[int(event.subject)].hangs = True
+        elif event.kind == "cut":
+            self._fleet.cut_zone = str(event.subject)
+        elif event.kind == "power_off":
             self._fleet.powered_off = True
-        elif trouble.kind == "evacuate":
-            self._write_evacuation(str(trouble.subject), b"{}")
-        elif trouble.kind == "cold_return":
-            for target in self._in_zone(trouble):
+        elif event.kind == "evacuate":
+            self._write_evacuation(str(event.subject), b"{}")
+        elif event.kind == "cold_return":
+            for target in self._targets_in_zone(event):
                 target.silent = True
         else:
-            zone = str(trouble.subject)
-            for _ in range(int((trouble.factor - 1) * self._load.flows_per_zone)):
-                self._new_flow(zone)
-        self._due.call_later(
-            trouble.until_ms - trouble.at_ms, self._end_trouble, trouble
-        )
-
-    def _end_trouble(self, trouble: cookie_scenario.Event) -> None:
-        if trouble.kind == "dark":
-            self._targets[int(trouble.subject)].silent = False
-        elif trouble.kind == "hang":
-            self._targets[int(trouble.subject)].hangs = False
-        elif trouble.kind == "cut":
+            zone = str(event.subject)
+            for _ in range(int((event.factor - 1) * self._load.flows_per_zone)):
+                self._start_flow(zone)
+        self._scheduler.call_later(event.until_ms - event.at_ms, self._end_event, event)
+
+    def _end_event(self, event: cookie_scenario.Event) -> None:
+        if event.kind == "dark":
+            self._targets[int(event.subject)].silent = False
+        elif event.kind == "hang":
+            self._targets[int(event.subject)].hangs = False
+        elif event.kind == "cut":
             self._fleet.cut_zone = ""
-        elif trouble.kind == "power_off":
+        elif event.kind == "power_off":
             self._fleet.powered_off = False
             self._fleet.start()
-        elif trouble.kind == "evacuate":
-            self._write_evacuation(str(trouble.subject), None)
-        elif trouble.kind == "cold_return":
-            for target in self._in_zone(trouble):
+        elif event.kind == "evacuate":
+            self._write_evacuation(str(event.subject), None)
+        elif event.kind == "cold_return":
+            for target in self._targets_in_zone(event):
                 self._restart(target)
 
-    def _in_zone(self, trouble: cookie_scenario.Event) -> list[_Target]:
-        return [item for item in self._targets if item.zone == trouble.subject]
+    def _targets_in_zone(self, event: cookie_scenario.Event) -> list[_Target]:
+        return [item for item in self._targets if item.zone == event.subject]
 
     def _restart(self, target: _Target) -> None:
-        """Start a server anew; it is cold and holds nothing of before."""
+        """Restart a target; it is cold, and its queue is empty."""
         target.silent = False
         target.queue.clear()
-        target.cold_until_ms = self._due.now_ms + self._load.service.cold_ms
-        self._fleet.restart(target.number, str(self._due.now_ms).encode())
+        target.cold_until_ms = self._scheduler.now_ms + self._load.service.cold_ms
+        self._fleet.restart(target.number, str(self._scheduler.now_ms).encode())
 
     def _write_evacuation(self, zone: str, value: bytes | None) -> None:
         self._fleet.write(steered_fleet.EVACUATION_PREFIX + zone, value)
 
-    def _new_flow(self, zone: str, asked_ms: int | None = None) -> None:
-        self._port += 1
+    def _start_flow(self, zone: str, began_ms: int | None = None) -> None:
+        self._last_port += 1
         vm = self._rng.choice(self._fleet.vms_in_zone(zone))
-        flow = _Flow(self._port, zone, vm, self._load.requests_per_flow)
-        # The first request of a flow waits for it to open; one that is asked
-        # again counts from its first try.
-        flow.asked_ms = self._due.now_ms if asked_ms is None else asked_ms
-        self._asked += asked_ms is None
-        for copies, delay_ms in enumerate(SYN_AFTER_MS):
-            self._due.call_later(delay_ms, self._open, flow, copies)
-        self._due.call_later(OPEN_MS, self._give_up_opening, flow)
-
-    def _open(self, flow: _Flow, copies: int) -> None:
+        flow = _Flow(self._last_port, zone, vm, self._load.requests_per_flow)
+        # The time to an answer includes the opening of the flow, and for a request
+        # that is retried also its earlier attempts.
+        flow.began_ms = self._scheduler.now_ms if began_ms is None else began_ms
+        self._request_count += began_ms is None
+        for retransmissions, delay_ms in enumerate(SYN_DELAYS_MS):
+            self._scheduler.call_later(delay_ms, self._send_syn, flow, retransmissions)
+        self._scheduler.call_later(OPEN_TIMEOUT_MS, self._give_up_opening, flow)
+
+    def _send_syn(self, flow: _Flow, retransmissions: int) -> None:
         if flow.target is not None or flow.ended:
             return
-        decision = self._steer(flow, packets.SYN, copies, b"")
-        target = self._reached(flow, decision)
-        if decision.outcome in _REFUSED:
+        decision = self._steer(flow, packets.SYN, retransmissions, b"")
+        target = self._reached_target(flow, decision)
+        if decision.outcome in _REFUSALS:
             self._fail(flow)
         elif target is not None and decision.target is not None:
             flow.target = target
             flow.cookie = decision.target.cookie
-            self._opened += 1
-            cold = self._due.now_ms < target.cold_until_ms
-            self._openings.append(Opening(self._due.now_ms, target.number, cold))
-            self._crossed += target.server.zone != flow.zone
-            self._due.call_later(2 * HOP_MS, self._ask, flow)
+            self._accepted_count += 1
+            cold = self._scheduler.now_ms < target.cold_until_ms
+            self._openings.append(Opening(self._scheduler.now_ms, target.number, cold))
+            self._cross_zone_count += target.server.zone != flow.zone
+            self._scheduler.call_later(2 * HOP_MS, self._start_request, flow)
 
     def _give_up_opening(self, flow: _Flow) -> None:
         if flow.target is None and not flow.ended:
             self._fail(flow)
 
-    def _ask(self, flow: _Flow) -> None:
+    def _start_request(self, flow: _Flow) -> None:
         if flow.ended:
             return
-        flow.left -= 1
-        flow.waiting += 1
-        self._send_request(flow, flow.waiting, RESEND_MS)
-        self._due.call_later(self._load.timeout_ms, self._time_out, flow, flow.waiting)
+        flow.requests_left -= 1
+        flow.request_number += 1
+        self._send_request(flow, flow.request_number, RETRANSMIT_MS)
+        self._scheduler.call_later(
+            self._load.timeout_ms, self._time_out, flow, flow.request_number
+        )
 
-    def _send_request(self, flow: _Flow, waiting: int, wait_ms: int) -> None:
-        if flow.ended or flow.waiting != waiting:
+    def _send_request(self, flow: _Flow, number: int, retransmit_ms: int) -> None:
+        if flow.ended or flow.request_number != number:
             return
         decision = self._steer(flow, packets.ACK, flow.acknowledged, b"GET\n")
         if decision.outcome is steering.Outcome.TARGET_DEAD:
-            self._move(flow)
+            self._retry_on_new_flow(flow)
             return
-        target = self._reached(flow, decision)
-        if target is not None and flow.arrived != waiting:
-            flow.arrived = waiting
-            self._arrive(target, flow)
-        self._due.call_later(wait_ms, self._send_request, flow, waiting, 2 * wait_ms)
-
-    def _arrive(self, target: _Target, flow: _Flow) -> None:
-        if target.busy < target.server.slots:
-            self._work(target, flow)
-        elif len(target.queue) < QUEUE:
+        target = self._reached_target(flow, decision)
+        if target is not None and flow.arrived_number != number:
+            flow.arrived_number = number
+            self._receive_request(target, flow)
+        self._scheduler.call_later(
+            retransmit_ms, self._send_request, flow, number, 2 * retransmit_ms
+        )
+
+    def _receive_request(self, target: _Target, flow: _Flow) -> None:
+        if target.busy_slots < target.server.slots:
+            self._start_work(target, flow)
+        elif len(target.queue) < QUEUE_LIMIT:
             target.queue.append(flow)
         else:
             self._fail(flow)
 
-    def _work(self, target: _Target, flow: _Flow) -> None:
-        target.busy += 1
-        target.ran += 1
+    def _start_work(self, target: _Target, flow: _Flow) -> None:
+        target.busy_slots += 1
+        target.requests_begun += 1
         work_ms = self._rng.lognormvariate(0, 0.5) / 1.133 * self._load.work_ms
         took_ms = work_ms * target.server.slowness
-        if self._due.now_ms < target.cold_until_ms:
+        if self._scheduler.now_ms < target.cold_until_ms:
             took_ms *= cookie_scenario.COLD_SLOWNESS
-        self._due.call_later(took_ms, self._done, target, flow, flow.waiting)
+        self._scheduler.call_later(
+            took_ms, self._finish_work, target, flow, flow.request_number
+        )
 
-    def _done(self, target: _Target, flow: _Flow, waiting: int) -> None:
-        target.busy -= 1
+    def _finish_work(self, target: _Target, flow: _Flow, number: int) -> None:
+        target.busy_slots -= 1
         if target.queue:
-            self._work(target, target.queue.popleft())
+            self._start_work(target, target.queue.popleft())
         cut = self._fleet.partitioned(flow.zone, target.server.zone)
         if (
             target.silent
             or target.hangs
             or cut
             or flow.ended
-            or flow.waiting != waiting
+            or flow.request_number != number
         ):
             return
         self._ends.append(
-            End(self._due.now_ms, self._due.now_ms + HOP_MS - flow.asked_ms)
+            End(self._scheduler.now_ms, self._scheduler.now_ms + HOP_MS - flow.began_ms)
         )
-        flow.waiting += 1
+        flow.request_number += 1
         flow.sequence += 4
         flow.acknowledged += 2400
         self._steer(flow, packets.ACK, flow.acknowledged, b"")
-        if flow.left <= 0:
+        if flow.requests_left <= 0:
             self._steer(flow, packets.FIN | packets.ACK, flow.acknowledged, b"")
             flow.ended = True
-            self._due.call_later(self._pause(), self._new_flow, flow.zone)
+            self._scheduler.call_later(
+                self._draw_pause_ms(), self._start_flow, flow.zone
+            )
             return
-        self._due.call_later(self._pause(), self._ask_next, flow)
+        self._scheduler.call_later(
+            self._draw_pause_ms(), self._start_next_request, flow
+        )
 
-    def _ask_next(self, flow: _Flow) -> None:
-        self._asked += 1
-        flow.asked_ms = self._due.now_ms
-        self._ask(flow)
+    def _start_next_request(self, flow: _Flow) -> None:
+        self._request_count += 1
+        flow.began_ms = self._scheduler.now_ms
+        self._start_request(flow)
 
-    def _time_out(self, flow: _Flow, waiting: int) -> None:
-        if not flow.ended and flow.waiting == waiting:
+    def _time_out(self, flow: _Flow, number: int) -> None:
+        if not flow.ended and flow.request_number == number:
             self._fail(flow)
 
-    def _move(self, flow: _Flow) -> None:
-        # A caller whose flow was reset asks again on a new one.
+    def _retry_on_new_flow(self, flow: _Flow) -> None:
+        # A caller whose flow was reset repeats its request on a new flow.
         flow.ended = True
-        self._new_flow(flow.zone, flow.asked_ms)
+        self._start_flow(flow.zone, flow.began_ms)
 
     def _fail(self, flow: _Flow) -> None:
-        self._ends.append(End(self._due.now_ms, None))
+        self._ends.append(End(self._scheduler.now_ms, None))
         flow.ended = True
-        self._due.call_later(self._pause(), self._new_flow, flow.zone)
+        self._scheduler.call_later(self._draw_pause_ms(), self._start_flow, flow.zone)
 
-    def _pause(self) -> float:
+    def _draw_pause_ms(self) -> float:
         return self._rng.expovariate(1 / self._load.pause_ms)
 
     def _steer(
         self, flow: _Flow, flags: int, acknowledged: int, data: bytes
     ) -> steering.Decision:
-        stream = steered_fleet.FlowState(
+        state = steered_fleet.FlowState(
             flow.vm,
             1,
             flow.port,
@@ -335,9 +348,11 @@
             flow.sequence,
             flow.cookie,
         )
-        return self._fleet.steer(stream, flags, acknowledged, data)
+        return self._fleet.steer(state, flags, acknowledged, data)
 
-    def _reached(self, flow: _Flow, decision: steering.Decision) -> _Target | None:
+    def _reached_target(
+        self, flow: _Flow, decision: steering.Decision
+    ) -> _Target | None:
         if decision.target is None:
             return None
         target = self._targets[self._fleet.target_index(decision.target)]
@@ -349,16 +364,16 @@
             item.took_ms for item in self._ends if item.took_ms is not None
         )
         loads = [
-            item.ran * item.server.slowness / item.server.slots
+            item.requests_begun * item.server.slowness / item.server.slots
             for item in self._targets
             if not item.silent
         ]
-        done = len(self._ends)
+        ended = len(self._ends)
         return Result(
-            self._asked,
-            sum(item <= self._load.objective_ms for item in times_ms) / max(1, done),
-            len(times_ms) / max(1, done),
+            self._request_count,
+            sum(item <= self._load.objective_ms for item in times_ms) / max(1, ended),
+            len(times_ms) / max(1, ended),
             times_ms[len(times_ms) * 99 // 100] if times_ms else 0,
             max(loads) * len(loads) / max(1e-9, sum(loads)),
-            self._crossed / max(1, self._opened),
+            self._cross_zone_count / max(1, self._accepted_count),
         )
--- a/eelgrasswick/emulation/cookie_scenario.py
+++ b/eelgrasswick/emulation/cookie_scenario.py
@@ -1,8 +1,8 @@
-"""Loads on flows that name their target: servers, callers and what goes wrong.
+"""Loads on flows that carry a cookie of their target: servers, callers and events.
 
-The ordinary load is the users' smallest site: seven servers of unequal speed in
-three availability zones, half busy with long flows. Each other load adds one
-trouble of their heaviest days.
+The ordinary load is the smallest site of the users: seven servers of unequal speed in
+three availability zones, half busy with long flows. Each other load adds one kind of
+event of their heaviest days.
 """
 
 import typing
@@ -15,14 +15,20 @@
 PORT: typing.Final = 443
 CONFIG_KEY: typing.Final = "config"
 TARGET_PREFIX: typing.Final = "target/"
-# Servers' ids count from here.
-FIRST_ID: typing.Final = 16
-_BORN_MS: typing.Final = 1000
+# Instance ID of the first server; the IDs of the others follow.
+FIRST_INSTANCE_ID: typing.Final = 16
+_STARTED_MS: typing.Final = 1000
 COLD_SLOWNESS: typing.Final = 1.6
 
 
 class Server(typing.NamedTuple):
-    """A target of a load: its zone, slots, and time factor for all work."""
+    """A target of a load.
+
+    Attributes:
+        zone: Its availability zone.
+        slots: Requests that it works on at once.
+        slowness: Factor of the time that work takes; 1 is normal.
+    """
 
     zone: str
     slots: int
@@ -30,19 +36,19 @@
 
 
 class Event(typing.NamedTuple):
-    """Something that begins at a moment.
+    """A fault or change that lasts for a part of the run.
 
     Attributes:
-        at_ms: When.
-        kind: ``dark`` (a server falls silent), ``hang`` (a server opens flows and
+        at_ms: Virtual time at which it begins.
+        kind: ``dark`` (a server becomes silent), ``hang`` (a server accepts flows and
             answers no request), ``cut`` (a zone is cut off from the others),
-            ``burst`` (more callers come to a zone, for good), ``evacuate`` (a zone's
-            targets are to get no new flow), ``cold_return`` (a zone's servers are
-            away and start anew together, cold) or ``power_off`` (all VMs are away
-            and forget what they saw).
-        subject: Number of the server, or name of the zone; nothing for all.
-        until_ms: When it is over.
-        factor: How many times more flows a burst brings.
+            ``burst`` (a zone gets more flows until the end of the run), ``evacuate``
+            (a zone's targets are to get no new flow), ``cold_return`` (all servers of
+            a zone are silent, and then restart cold at the same time) or
+            ``power_off`` (all VMs are off, and lose their observations).
+        subject: Index of the server, or name of the zone; empty for all VMs.
+        until_ms: Virtual time at which it ends.
+        factor: Flows of the zone during a burst over those before it.
     """
 
     at_ms: int
@@ -56,17 +62,17 @@
     """A load.
 
     Attributes:
-        servers: All targets, of one service.
-        flows: Long flows that are open in each zone.
+        servers: All targets; they work for one service.
+        flows_per_zone: Number of long flows that callers of each zone keep open.
         pause_ms: Mean pause between an answer and the next request.
         work_ms: Mean work of a request at slowness 1.
-        aim_ms: Answers within this are in time.
-        limit_ms: Callers give up after this.
-        duration_ms: Length of the run.
-        requests: Requests of a flow, after which its caller opens another.
-        events: What goes wrong.
-        cold: What operators say of servers that have just started; they work at
-            ``COLD_SLOWNESS`` meanwhile.
+        objective_ms: Time within which an answer is in time.
+        timeout_ms: Time after which callers give up a request.
+        duration_ms: Duration of the run.
+        requests_per_flow: Requests of a flow, after which its caller opens another.
+        events: Faults and changes during the run.
+        service: The service, with the time for which operators state that a started
+            server is cold. A cold server takes ``COLD_SLOWNESS`` times as long.
     """
 
     servers: tuple[Server, ...]
@@ -92,7 +98,7 @@
 )
 ORDINARY: typing.Final = Load(_SERVERS, 30, 400, 24, 150, 1000, 20_000, 12)
 _DARK: typing.Final = tuple(Event(5000, "dark", n, 12_000) for n in (0, 3))
-# Thirty servers that are nearly idle, of which six hang, before many VMs.
+# Of thirty nearly idle servers six hang, in a fleet of many VMs.
 HANGING: typing.Final = Load(
     tuple(Server(f"z{n % 3 + 1}", 2, 1.0) for n in range(30)),
     100,
@@ -104,7 +110,7 @@
     5,
     tuple(Event(5000, "hang", n, 12_000) for n in range(6)),
 )
-# Thirty servers, of which a zone's ten come back together before many VMs.
+# Of thirty servers the ten of a zone restart together, in a fleet of many VMs.
 COLD_RETURN: typing.Final = HANGING._replace(
     flows_per_zone=200,
     requests_per_flow=3,
@@ -134,12 +140,17 @@
 
 
 class Reader(steered_fleet.Rows):
-    """Rows of a load: its one route, and one row for each server."""
+    """Rows of a load: a configuration with one route, and one row per server."""
 
     def __init__(
         self, servers: tuple[Server, ...], service: model.Service | None = None
     ) -> None:
-        """Read the rows of some servers, and of what operators say of them."""
+        """Create the rows of some servers.
+
+        Args:
+            servers: The servers.
+            service: Their service; one without a cold period if None.
+        """
         self._servers = servers
         self._service = service or model.Service(SERVICE)
 
@@ -150,11 +161,11 @@
         return (source.Row(CONFIG_KEY, b"", 1), *targets)
 
     def is_config(self, key: str) -> bool:
-        """Tell whether a key holds the configuration."""
+        """Return whether a key is that of the configuration."""
         return key == CONFIG_KEY
 
     def is_target(self, key: str) -> bool:
-        """Tell whether a key holds a target."""
+        """Return whether a key is that of a target."""
         return key.startswith(TARGET_PREFIX)
 
     def config(self, row: source.Row) -> model.Config:
@@ -164,13 +175,13 @@
         return model.Config(row.revision, routes, {SERVICE: self._service})
 
     def target(self, row: source.Row) -> model.Target:
-        """Return the target that a row stands for; its value is when it started."""
+        """Return the target of a row, whose value is the start time in milliseconds."""
         number = int(row.key.removeprefix(TARGET_PREFIX))
         server = self._servers[number]
-        identity = number + FIRST_ID
+        identity = number + FIRST_INSTANCE_ID
         return model.Target(
             f"i-{identity:x}",
-            int(row.value or _BORN_MS),
+            int(row.value or _STARTED_MS),
             identity.to_bytes(8, "big"),
             SERVICE,
             model.Address(f"10.128.0.{identity}", 8080),
