--- a/eelgrasswick/emulation/cookie_load.py
+++ b/eelgrasswick/emulation/cookie_load.py
@@ -95,9 +95,11 @@
         self.cookie = 0
         self.sequence = 1
         self.acknowledged = 0
-        self.began_ms = 0
-        self.request_number = 0
-        self.arrived_number = 0
+        self.request_began_ms = 0
+        # The token changes with each request and each answer, so that timers and work
+        # of an earlier request have no effect.
+        self.request_token = 0
+        self.arrived_token = 0
         self.ended = False
 
 
@@ -207,14 +209,16 @@
     def _write_evacuation(self, zone: str, value: bytes | None) -> None:
         self._fleet.write(steered_fleet.EVACUATION_PREFIX + zone, value)
 
-    def _start_flow(self, zone: str, began_ms: int | None = None) -> None:
+    def _start_flow(self, zone: str, request_began_ms: int | None = None) -> None:
         self._last_port += 1
         vm = self._rng.choice(self._fleet.vms_in_zone(zone))
         flow = _Flow(self._last_port, zone, vm, self._load.requests_per_flow)
         # The time to an answer includes the opening of the flow, and for a request
         # that is retried also its earlier attempts.
-        flow.began_ms = self._scheduler.now_ms if began_ms is None else began_ms
-        self._request_count += began_ms is None
+        flow.request_began_ms = (
+            self._scheduler.now_ms if request_began_ms is None else request_began_ms
+        )
+        self._request_count += request_began_ms is None
         for retransmissions, delay_ms in enumerate(SYN_DELAYS_MS):
             self._scheduler.call_later(delay_ms, self._send_syn, flow, retransmissions)
         self._scheduler.call_later(OPEN_TIMEOUT_MS, self._give_up_opening, flow)
@@ -243,25 +247,25 @@
         if flow.ended:
             return
         flow.requests_left -= 1
-        flow.request_number += 1
-        self._send_request(flow, flow.request_number, RETRANSMIT_MS)
+        flow.request_token += 1
+        self._send_request(flow, flow.request_token, RETRANSMIT_MS)
         self._scheduler.call_later(
-            self._load.timeout_ms, self._time_out, flow, flow.request_number
+            self._load.timeout_ms, self._time_out, flow, flow.request_token
         )
 
-    def _send_request(self, flow: _Flow, number: int, retransmit_ms: int) -> None:
-        if flow.ended or flow.request_number != number:
+    def _send_request(self, flow: _Flow, token: int, retransmit_ms: int) -> None:
+        if flow.ended or flow.request_token != token:
             return
         decision = self._steer(flow, packets.ACK, flow.acknowledged, b"GET\n")
         if decision.outcome is steering.Outcome.TARGET_DEAD:
             self._retry_on_new_flow(flow)
             return
         target = self._reached_target(flow, decision)
-        if target is not None and flow.arrived_number != number:
-            flow.arrived_number = number
+        if target is not None and flow.arrived_token != token:
+            flow.arrived_token = token
             self._receive_request(target, flow)
         self._scheduler.call_later(
-            retransmit_ms, self._send_request, flow, number, 2 * retransmit_ms
+            retransmit_ms, self._send_request, flow, token, 2 * retransmit_ms
         )
 
     def _receive_request(self, target: _Target, flow: _Flow) -> None:
@@ -280,10 +284,10 @@
         if self._scheduler.now_ms < target.cold_until_ms:
             took_ms *= cookie_scenario.COLD_SLOWNESS
         self._scheduler.call_later(
-            took_ms, self._finish_work, target, flow, flow.request_number
+            took_ms, self._finish_work, target, flow, flow.request_token
         )
 
-    def _finish_work(self, target: _Target, flow: _Flow, number: int) -> None:
+    def _finish_work(self, target: _Target, flow: _Flow, token: int) -> None:
         target.busy_slots -= 1
         if target.queue:
             self._start_work(target, target.queue.popleft())
@@ -293,13 +297,16 @@
             or target.hangs
             or cut
             or flow.ended
-            or flow.request_number != number
+            or flow.request_token != token
         ):
             return
         self._ends.append(
-            End(self._scheduler.now_ms, self._scheduler.now_ms + HOP_MS - flow.began_ms)
+            End(
+                self._scheduler.now_ms,
+                self._scheduler.now_ms + HOP_MS - flow.request_began_ms,
+            )
         )
-        flow.request_number += 1
+        flow.request_token += 1
         flow.sequence += 4
         flow.acknowledged += 2400
         self._steer(flow, packets.ACK, flow.acknowledged, b"")
@@ -316,17 +323,17 @@
 
     def _start_next_request(self, flow: _Flow) -> None:
         self._request_count += 1
-        flow.began_ms = self._scheduler.now_ms
+        flow.request_began_ms = self._scheduler.now_ms
         self._start_request(flow)
 
-    def _time_out(self, flow: _Flow, number: int) -> None:
-        if not flow.ended and flow.request_number == number:
+    def _time_out(self, flow: _Flow, token: int) -> None:
+        if not flow.ended and flow.request_token == token:
             self._fail(flow)
 
     def _retry_on_new_flow(self, flow: _Flow) -> None:
         # A caller whose flow was reset repeats its request on a new flow.
         flow.ended = True
-        self._start_flow(flow.zone, flow.began_ms)
+        self._start_flow(flow.zone, flow.request_began_ms)
 
     def _fail(self, flow: _Flow) -> None:
         self._ends.append(End(self._scheduler.now_ms, None))
--- a/eelgrasswick/emulation/open_scenario.py
+++ b/eelgrasswick/emulation/open_scenario.py
@@ -1,8 +1,8 @@
-"""Loads whose requests come whether or not earlier ones are answered.
+"""Loads whose requests arrive at a rate independent of answers.
 
-Three kinds of request on one service, with weights and priorities: a feed on
-long flows, an upload and a page that open a flow for each request. The demand
-is given as a part of what all servers can do.
+A load has kinds of requests on one service, with weights and priorities: a feed on long
+flows, and an upload that opens a flow for each request. The demand is given relative
+to the capacity of all servers.
 """
 
 import typing
@@ -15,18 +15,18 @@
 
 
 class Kind(typing.NamedTuple):
-    """A kind of request, on a route of its own.
+    """A kind of request, which has a route of its own.
 
     Attributes:
-        name: Its name in tables.
-        part: Relative number of requests.
-        work_ms: Mean work at slowness 1.
-        aim_ms: Answers within this are in time.
-        limit_ms: Callers give up after this.
-        worth: What an answer in time is worth.
-        late_worth: What a later one is worth.
-        priority: 0 is highest.
-        long: True when requests share long flows.
+        name: Its name in tables, and of its route.
+        share: Relative number of requests of this kind.
+        work_ms: Mean time of the work at slowness 1.
+        objective_ms: Time within which an answer is in time.
+        timeout_ms: Time after which callers give up a request.
+        worth: Worth of an answer in time.
+        late_worth: Worth of a later answer.
+        priority: Priority of the route; 0 is the highest.
+        uses_long_flows: True if several requests use one flow.
     """
 
     name: str
@@ -41,15 +41,16 @@
 
 
 class Event(typing.NamedTuple):
-    """Something that begins at a moment.
+    """A fault or change that lasts for a part of the run.
 
     Attributes:
-        at_ms: When.
-        until_ms: When it is over.
-        kind: ``cut`` (a zone is cut off), ``burst`` (demand is multiplied) or
-            ``power_off`` (all VMs are away and forget what they saw).
+        at_ms: Virtual time at which it begins.
+        until_ms: Virtual time at which it ends.
+        kind: ``cut`` (a zone is cut off from the others), ``burst`` (the demand is
+            multiplied) or ``power_off`` (all VMs are off, and lose their
+            observations).
         zone: The zone that is cut off.
-        factor: By how much a burst multiplies the demand.
+        factor: Factor of the demand during a burst.
     """
 
     at_ms: int
@@ -63,15 +64,15 @@
     """A load.
 
     Attributes:
-        servers: All targets, of one service.
-        kinds: What is asked.
-        demand: Work that is asked for over what all servers can do.
-        duration_ms: Length of the run.
-        clients: Callers in each zone; each keeps its own idle flows.
+        servers: All targets; they work for one service.
+        kinds: Kinds of requests.
+        demand: Work of all requests over the capacity of all servers.
+        duration_ms: Duration of the run.
+        clients_per_zone: Callers in each zone; each keeps idle flows of its own.
         requests_per_flow: Requests of a long flow, after which it is closed.
-        queue: Requests that a server lets wait beyond those it works on.
-        events: What goes wrong.
-        zone_parts: Relative number of callers' requests from each zone.
+        queue_limit: Requests that a server queues beyond those it works on.
+        events: Faults and changes during the run.
+        zone_shares: Relative number of requests from callers of each zone.
     """
 
     servers: tuple[cookie_scenario.Server, ...]
@@ -86,18 +87,18 @@
 
     @property
     def capacity(self) -> float:
-        """Milliseconds of work that all servers do in a millisecond."""
+        """Milliseconds of work that all servers do per millisecond."""
         return sum(item.slots / item.slowness for item in self.servers)
 
     @property
     def mean_work_ms(self) -> float:
-        """Mean work of a request."""
-        total = sum(item.share for item in self.kinds)
-        return sum(item.share * item.work_ms for item in self.kinds) / total
+        """Mean work of a request, in milliseconds."""
+        total_share = sum(item.share for item in self.kinds)
+        return sum(item.share * item.work_ms for item in self.kinds) / total_share
 
     @property
     def requests_per_ms(self) -> float:
-        """Requests that come in a millisecond."""
+        """Mean number of requests that arrive per millisecond."""
         return self.demand * self.capacity / self.mean_work_ms
 
 
@@ -128,7 +129,8 @@
     "burst_ends": Load(
         EVEN, KINDS, 0.7, events=(Event(4000, 7000, "burst", factor=2.5),)
     ),
-    # The zone has two of seven servers and asks for 1/0.8 of what they can do.
+    # Zone z3 has two of seven servers, and its callers ask for 1/0.8 of their
+    # capacity.
     "zone_cut": Load(EVEN, KINDS, 0.6, events=(_CUT,), zone_shares=(1.0, 1.0, 2.94)),
     "power_off": Load(EVEN, KINDS, 0.7, events=(Event(4000, 5400, "power_off"),)),
     "unequal_70": Load(UNEQUAL, KINDS, 0.7),
@@ -138,10 +140,10 @@
 
 
 class Reader(cookie_scenario.Reader):
-    """Rows of a load with one route for each kind of request."""
+    """Rows of a load that has one route for each kind of request."""
 
     def __init__(self, load: Load) -> None:
-        """Read the rows of a load."""
+        """Create the rows of a load."""
         self._open_load = load
         super().__init__(load.servers)
 
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -1,4 +1,7 @@
-"""Entry VMs in virtual time: real steering, and what the VMs tell each other."""
+"""Entry VMs in virtual time, with the steering of the product.
+
+Row updates, load reports and witnesses reach the VMs with the delays of a real fleet.
+"""
 
 import abc
 import random
@@ -16,28 +19,28 @@
 from eelgrasswick.decisions import ejection
 from eelgrasswick.emulation import agenda, packets
 
-# VMs hear of each other's reports about this often.
-REPORT_MS: typing.Final = 1000
-TICK_MS: typing.Final = 250
-PROBE_MS: typing.Final = 250
-CHECK_MS: typing.Final = 100
-# What VMs of a zone tell each other of overdue requests takes about so long.
-WITNESS_MS: typing.Final = 150
-# The last VM hears of a new row within this time.
+# Interval at which VMs exchange their load reports.
+REPORT_INTERVAL_MS: typing.Final = 1000
+TICK_INTERVAL_MS: typing.Final = 250
+PROBE_TIMEOUT_MS: typing.Final = 250
+OVERDUE_CHECK_INTERVAL_MS: typing.Final = 100
+# Delay of the witnesses that VMs of a zone send one another for overdue requests.
+WITNESS_DELAY_MS: typing.Final = 150
+# Longest delay with which a VM receives an update of a row.
 MAX_UPDATE_DELAY_MS: typing.Final = 1000
 EVACUATION_PREFIX: typing.Final = "evacuate/"
 ZONES: typing.Final = ("z1", "z2", "z3")
 
 
 class Rows(source.Reader):
-    """A reader that knows all rows of its store."""
+    """A reader that also returns all rows of its store."""
 
     @abc.abstractmethod
     def rows(self) -> tuple[source.Row, ...]:
         """Return all rows, the configuration first."""
 
     def is_evacuation(self, key: str) -> bool:
-        """Tell whether a key orders an evacuation."""
+        """Return whether a key orders an evacuation."""
         return key.startswith(EVACUATION_PREFIX)
 
     def evacuation(self, row: source.Row) -> model.Evacuation:
@@ -46,16 +49,16 @@
 
 
 class FlowState(typing.NamedTuple):
-    """Where a flow stands, as its caller's next packet says.
+    """State of a flow, as it determines the next packet of its caller.
 
     Attributes:
-        vm: Number of the VM that its packets come to.
-        caller: Last part of the caller's address.
+        vm: Index of the VM that receives its packets.
+        caller: Last byte of the caller's address.
         caller_port: The caller's port.
         service_ip: Address of the service.
-        service_port: Its port.
-        sequence: Position in the caller's stream.
-        cookie: What the target last said, 0 for nothing.
+        service_port: Port of the service.
+        sequence: Position in the byte stream of the caller.
+        cookie: Cookie that the caller last received from the target; 0 for none.
     """
 
     vm: int
@@ -68,7 +71,14 @@
 
 
 class Vm(typing.NamedTuple):
-    """One entry VM."""
+    """One entry VM.
+
+    Attributes:
+        zone: Its availability zone.
+        catalog: Its configuration and targets.
+        steering: Its decisions.
+        observations: Its observations of targets.
+    """
 
     zone: str
     catalog: catalog.Catalog
@@ -77,7 +87,11 @@
 
 
 class Reachable(typing.Protocol):
-    """A target of a load, as the VMs' probes find it."""
+    """A target of a load, as far as probes of the VMs need it.
+
+    Attributes:
+        silent: True while it leaves packets unanswered.
+    """
 
     silent: bool
 
@@ -87,177 +101,205 @@
 
 
 class Fleet:
-    """The VMs of all zones, and what they can reach.
+    """The VMs of all zones, and the network between them and the targets.
 
     Attributes:
-        vms: The VMs.
-        cut: Zone that is cut off from the others; empty for none.
-        off: True while all VMs are without power.
+        vms: All VMs.
+        cut_zone: Zone that is cut off from the others; empty for none.
+        powered_off: True while all VMs are without power.
     """
 
     def __init__(
         self,
-        due: agenda.Scheduler,
+        scheduler: agenda.Scheduler,
         reader: Rows,
         wire: codec.SegmentCodec,
         targets: typing.Sequence[Reachable],
         vms_per_zone: int,
         rng: random.Random,
     ) -> None:
-        """Start the VMs.
+        """Start all VMs.
 
         Args:
-            due: Virtual time.
-            reader: Rows of the store.
-            wire: Reads and writes packets.
-            targets: What the rows of targets stand for, in their order.
-            vms_per_zone: Entry VMs in each zone.
-            rng: Decides when each VM hears of a row.
+            scheduler: Scheduler of the run.
+            reader: Reader of the rows of the store.
+            wire: Decodes and encodes packets.
+            targets: Targets, in the order of their rows.
+            vms_per_zone: Number of VMs in each zone.
+            rng: Draws the delays with which VMs receive updates.
         """
         self._rng = rng
         self.vms: list[Vm] = []
         self.cut_zone = ""
         self.powered_off = False
-        self._due = due
+        self._scheduler = scheduler
         self._reader = reader
         self._codec = wire
         self._targets = targets
         self._vms_per_zone = vms_per_zone
-        self._by_cookie: dict[int, int] = {}
-        # Rows that were written since the beginning.
-        self._rows: dict[str, source.Row] = {}
+        self._index_by_cookie: dict[int, int] = {}
+        # Rows that were written after the start of the run.
+        self._written_rows: dict[str, source.Row] = {}
         self.start()
-        due.call_later(TICK_MS, self._tick)
-        due.call_later(REPORT_MS, self._exchange_reports)
-        due.call_later(CHECK_MS, self._check)
+        scheduler.call_later(TICK_INTERVAL_MS, self._tick)
+        scheduler.call_later(REPORT_INTERVAL_MS, self._exchange_reports)
+        scheduler.call_later(OVERDUE_CHECK_INTERVAL_MS, self._check_overdue)
 
     def start(self) -> None:
-        """Start all VMs anew; they know the store and nothing of flows."""
+        """Restart all VMs; they have the rows of the store and no observations."""
         self.vms.clear()
         for zone in ZONES * self._vms_per_zone:
             self._add_vm(zone, len(self.vms))
 
     def restart(self, number: int, value: bytes) -> None:
-        """Write the entry of a target that starts anew."""
-        known = self._reader.rows()[1 + number]
-        row = self.write(known.key, value)
-        self._by_cookie[self._reader.target(row).cookie] = number
+        """Write the row of a target that restarts.
+
+        Args:
+            number: Index of the target.
+            value: New value of the row.
+        """
+        old_row = self._reader.rows()[1 + number]
+        row = self.write(old_row.key, value)
+        self._index_by_cookie[self._reader.target(row).cookie] = number
 
     def write(self, key: str, value: bytes | None) -> source.Row:
-        """Write a row to the store; all VMs hear of it within a second."""
-        # Above the revisions of all rows that were there from the beginning.
-        revision = len(self._targets) + len(self._rows) + 2
-        row = self._rows[key] = source.Row(key, value, revision + self._due.now_ms)
+        """Write a row to the store; all VMs receive the update within a second.
+
+        Args:
+            key: Key of the row.
+            value: Value of the row; None to delete the row.
+
+        Returns:
+            The row.
+        """
+        # The revision is above those of all rows that were there from the start.
+        revision = len(self._targets) + len(self._written_rows) + 2
+        row = self._written_rows[key] = source.Row(
+            key, value, revision + self._scheduler.now_ms
+        )
         for vm in self.vms:
-            self._due.call_later(
-                self._rng.randrange(MAX_UPDATE_DELAY_MS), self._hear, vm, row
+            self._scheduler.call_later(
+                self._rng.randrange(MAX_UPDATE_DELAY_MS), self._apply_update, vm, row
             )
         return row
 
-    def _hear(self, vm: Vm, row: source.Row) -> None:
-        vm.catalog.update(self._due.now_ms, knowledge.Merge((row,), 0))
+    def _apply_update(self, vm: Vm, row: source.Row) -> None:
+        vm.catalog.update(self._scheduler.now_ms, knowledge.Merge((row,), 0))
 
     def vms_in_zone(self, zone: str) -> list[int]:
-        """Return the numbers of a zone's VMs."""
+        """Return the indices of a zone's VMs."""
         return [number for number, vm in enumerate(self.vms) if vm.zone == zone]
 
     def target_index(self, target: model.Target) -> int:
-        """Return the place of a target in the load."""
-        return self._by_cookie[target.cookie]
+        """Return the index of a target in the load."""
+        return self._index_by_cookie[target.cookie]
 
     def partitioned(self, first: str, second: str) -> bool:
-        """Tell whether two zones can't reach each other."""
+        """Return whether a cut separates two zones."""
         return first != second and self.cut_zone in (first, second)
 
     def steer(
-        self, stream: FlowState, flags: int, acknowledged: int, data: bytes
+        self, flow: FlowState, flags: int, acknowledged: int, data: bytes
     ) -> steering.Decision:
-        """Hand a packet of a flow to its VM; probe what it wants probed.
+        """Steer a packet of a flow at its VM, and start the probe that this needs.
 
         Args:
-            stream: The flow.
+            flow: State of the flow.
             flags: Flags of the packet.
-            acknowledged: What its caller has received.
-            data: What the caller sends.
+            acknowledged: Position in the target's byte stream up to which the caller
+                has it.
+            data: Data from the caller.
         """
         if self.powered_off:
             return steering.Decision(steering.Outcome.NOT_READY, None, None, None)
         item = packets.Packet(
-            bytes((100, 64, stream.vm, stream.caller)),
-            stream.caller_port,
-            stream.service_ip,
-            stream.service_port,
+            bytes((100, 64, flow.vm, flow.caller)),
+            flow.caller_port,
+            flow.service_ip,
+            flow.service_port,
             flags,
-            stream.sequence,
+            flow.sequence,
             acknowledged,
-            stream.cookie,
+            flow.cookie,
             data,
         )
         raw = packets.encode(item)
-        vm = self.vms[stream.vm]
-        decision = vm.steering.steer(self._due.now_ms, 0, self._codec.decode(raw), raw)
+        vm = self.vms[flow.vm]
+        decision = vm.steering.steer(
+            self._scheduler.now_ms, 0, self._codec.decode(raw), raw
+        )
         if decision.probe is not None:
-            self._due.call_later(PROBE_MS, self._probed, vm, decision.probe)
+            self._scheduler.call_later(
+                PROBE_TIMEOUT_MS, self._finish_probe, vm, decision.probe
+            )
         return decision
 
     def _add_vm(self, zone: str, vm: int) -> None:
-        known = catalog.Catalog(self._reader)
-        rows = (*self._reader.rows(), *self._rows.values())
-        known.update(0, knowledge.Merge(rows, 0))
-        seen = observations.Observations(zone, known, vm=f"vm{vm}")
-        for number, target in enumerate(known.targets):
-            self._by_cookie[target.cookie] = number
-        made = steering.Steering(zone, self._codec, known, seen)
-        self.vms.append(Vm(zone, known, made, seen))
+        vm_catalog = catalog.Catalog(self._reader)
+        rows = (*self._reader.rows(), *self._written_rows.values())
+        vm_catalog.update(0, knowledge.Merge(rows, 0))
+        vm_observations = observations.Observations(zone, vm_catalog, vm=f"vm{vm}")
+        for number, target in enumerate(vm_catalog.targets):
+            self._index_by_cookie[target.cookie] = number
+        vm_steering = steering.Steering(zone, self._codec, vm_catalog, vm_observations)
+        self.vms.append(Vm(zone, vm_catalog, vm_steering, vm_observations))
 
     def _tick(self) -> None:
         names = [f"vm{number}" for number in range(len(self.vms))]
         for number, vm in enumerate(self.vms):
             others = (*names[:number], *names[number + 1 :])
             vm.observations.cold.limits.update_fleet(
-                self._due.now_ms, others, len(others)
+                self._scheduler.now_ms, others, len(others)
             )
-            vm.observations.tick(self._due.now_ms)
-        self._due.call_later(TICK_MS, self._tick)
+            vm.observations.tick(self._scheduler.now_ms)
+        self._scheduler.call_later(TICK_INTERVAL_MS, self._tick)
 
-    def _check(self) -> None:
+    def _check_overdue(self) -> None:
         for vm in [] if self.powered_off else self.vms:
-            targets, witnesses = vm.observations.take_overdue(self._due.now_ms)
+            targets, witnesses = vm.observations.take_overdue(self._scheduler.now_ms)
             for target in targets:
-                self._due.call_later(PROBE_MS, self._probed, vm, target)
+                self._scheduler.call_later(
+                    PROBE_TIMEOUT_MS, self._finish_probe, vm, target
+                )
             if witnesses:
-                self._due.call_later(WITNESS_MS, self._tell, vm, witnesses)
-        self._due.call_later(CHECK_MS, self._check)
+                self._scheduler.call_later(
+                    WITNESS_DELAY_MS, self._send_witnesses, vm, witnesses
+                )
+        self._scheduler.call_later(OVERDUE_CHECK_INTERVAL_MS, self._check_overdue)
 
-    def _tell(self, teller: Vm, witnesses: list[ejection.Witness]) -> None:
+    def _send_witnesses(self, sender: Vm, witnesses: list[ejection.Witness]) -> None:
         for vm in self.vms:
-            if vm.zone == teller.zone and vm is not teller:
+            if vm.zone == sender.zone and vm is not sender:
                 for item in witnesses:
-                    aged = item._replace(age_ms=WITNESS_MS)
-                    vm.observations.record_witness(self._due.now_ms, aged)
+                    aged = item._replace(age_ms=WITNESS_DELAY_MS)
+                    vm.observations.record_witness(self._scheduler.now_ms, aged)
 
     def _exchange_reports(self) -> None:
         for number, vm in enumerate(self.vms):
             report = vm.observations.report()
-            for other, heard in enumerate(self.vms):
-                if other != number and not self.partitioned(vm.zone, heard.zone):
-                    heard.observations.reports.record(
-                        self._due.now_ms, f"vm{number}", report
+            for other, receiver in enumerate(self.vms):
+                if other != number and not self.partitioned(vm.zone, receiver.zone):
+                    receiver.observations.reports.record(
+                        self._scheduler.now_ms, f"vm{number}", report
                     )
-        self._due.call_later(REPORT_MS, self._exchange_reports)
-
-    def _probed(self, vm: Vm, target: model.Target) -> None:
-        accepted = self._accepts(vm, target)
-        neighbour = vm.observations.other_target_in_zone(self._due.now_ms, target)
-        if not accepted and neighbour is not None and self._accepts(vm, neighbour):
-            vm.observations.record_zone_answer(self._due.now_ms, target.zone)
+        self._scheduler.call_later(REPORT_INTERVAL_MS, self._exchange_reports)
+
+    def _finish_probe(self, vm: Vm, target: model.Target) -> None:
+        accepted = self._target_accepts(vm, target)
+        neighbour = vm.observations.other_target_in_zone(self._scheduler.now_ms, target)
+        if (
+            not accepted
+            and neighbour is not None
+            and self._target_accepts(vm, neighbour)
+        ):
+            vm.observations.record_zone_answer(self._scheduler.now_ms, target.zone)
         path_ms = vm.observations.zone_answered_ms(target)
         dead = vm.observations.liveness.record_probe(
-            self._due.now_ms, target.cookie, accepted, path_ms
+            self._scheduler.now_ms, target.cookie, accepted, path_ms
         )
         if dead:
             vm.steering.reset_flows(target)
 
-    def _accepts(self, vm: Vm, target: model.Target) -> bool:
+    def _target_accepts(self, vm: Vm, target: model.Target) -> bool:
         found = self._targets[self.target_index(target)]
         return not found.silent and not self.partitioned(vm.zone, found.zone)
--- a/eelgrasswick/emulation/virtual_fleet.py
+++ b/eelgrasswick/emulation/virtual_fleet.py
@@ -1,8 +1,8 @@
-"""Engines in virtual time, for the measuring commands.
+"""A fleet of engines in virtual time, for the commands that measure.
 
-One queue of timed calls and one network that delays and loses. The engines,
-the watchers and the store's stand-in are the ones that the tests use; targets
-and callers are left to the command that needs them.
+The fleet has one queue of timed calls, and one network that delays and loses datagrams.
+Its engines, watchers and emulated store are those that the tests use. A command that
+needs targets or callers adds its own.
 """
 
 import collections
@@ -36,24 +36,24 @@
 DELAY_MS: typing.Final = 0.5
 JITTER_MS: typing.Final = 1.0
 RETRANSMIT_MS: typing.Final = 200.0
-STORE_STEP_MS: typing.Final = 5.0
-_CODE_AT: typing.Final = 1
+STORE_TICK_MS: typing.Final = 5.0
+_CODE_INDEX: typing.Final = 1
 
 
 class Traffic(typing.NamedTuple):
-    """What one VM sent for control.
+    """Control messages that VMs sent.
 
     Attributes:
-        messages: Messages.
-        size_bytes: Their bytes, without headers of the layers below.
+        messages: Number of messages.
+        size_bytes: Size of all messages, without headers of lower layers.
     """
 
     messages: int
     size_bytes: int
 
 
-class _Announcer(membership.Membership):
-    """Membership that announces with a fan-out of the trial's choice."""
+class _FanOutMembership(membership.Membership):
+    """Membership with a configurable fan-out of announcements."""
 
     fan_out = engine.ANNOUNCE_FAN_OUT
     announced = 0
@@ -63,8 +63,8 @@
         super().announce(self.fan_out)
 
 
-class _Engine(engine.Engine):
-    """An engine whose announcements have a chosen fan-out."""
+class _FanOutEngine(engine.Engine):
+    """An engine with a configurable fan-out of announcements."""
 
     def __init__(
         self,
@@ -75,34 +75,37 @@
         policy: placement.Placement,
     ) -> None:
         super().__init__(me, seeds, packet.FouCodec(), policy, random.Random(0))
-        self.announcer = _Announcer(me, seeds, self.peers, self.outbox, rng)
+        self.announcer = _FanOutMembership(me, seeds, self.peers, self.outbox, rng)
         self.announcer.fan_out = fan_out
         self.membership = self.announcer
 
 
 class ClaimedWeightHash(placement.BoundedHash):
-    """The bounded hash that takes targets as strong as the rules claim."""
+    """The bounded hash with the strength of targets that the rules state."""
 
     learns = False
 
 
 class Vm:
-    """One engine of the fleet.
+    """A VM of the fleet, which runs one engine.
 
     Attributes:
-        me: The VM as it joins.
+        me: Its member record when it joined.
         engine: Its engine.
-        cpu_ns: Processor time spent in the engine, nanoseconds.
-        feeds: Events fed so far.
-        kinds: Messages sent, by their code in ``wire``.
-        sizes: Bytes sent, likewise.
-        in_force_ms: When each sequence came into force here, virtual time.
+        cpu_ns: CPU time spent in the engine, in nanoseconds.
+        events_fed: Number of events fed to the engine.
+        messages_by_code: Number of messages sent, by their code in ``wire``.
+        bytes_by_code: Bytes of messages sent, by their code in ``wire``.
+        in_force_ms: Virtual time at which each configuration came into force, by
+            sequence.
+        watcher: Its watcher of the store.
+        alive: False after it was killed.
     """
 
-    def __init__(self, me: member.Member, runs: _Engine) -> None:
-        """Wrap an engine."""
+    def __init__(self, me: member.Member, vm_engine: _FanOutEngine) -> None:
+        """Create a VM that has fed its engine no event."""
         self.me = me
-        self.engine = runs
+        self.engine = vm_engine
         self.cpu_ns = 0
         self.events_fed = 0
         self.messages_by_code: collections.Counter[int] = collections.Counter()
@@ -112,25 +115,26 @@
         self.alive = True
 
     def record_sent(self, payload: bytes) -> None:
-        """Count a message that this VM sends."""
+        """Count a message that this VM sends, by its code."""
         # Every message is a CBOR array whose first item is its code.
-        self.messages_by_code[payload[_CODE_AT]] += 1
-        self.bytes_by_code[payload[_CODE_AT]] += len(payload)
+        self.messages_by_code[payload[_CODE_INDEX]] += 1
+        self.bytes_by_code[payload[_CODE_INDEX]] += len(payload)
 
     @property
     def announced(self) -> int:
-        """Pings sent to announce a newer configuration."""
+        """Number of pings sent to announce a newer configuration."""
         return self.engine.announcer.announced
 
 
 class VirtualFleet:
-    """Engines, a network and the store's stand-in in virtual time.
+    """Engines, a network and an emulated store in virtual time.
 
     Attributes:
         vms: All VMs, in the order in which they joined.
-        platform: The store's stand-in; it counts the calls.
-        on_data: Takes datagrams for targets, set by a command that has some.
-        on_fabric: Takes datagrams for callers, likewise.
+        now_ms: Present virtual time in milliseconds.
+        platform: The emulated store, which counts its calls.
+        on_data: Called with datagrams to targets; None if there are no targets.
+        on_fabric: Called with datagrams to callers; None if there are no callers.
     """
 
     def __init__(
@@ -142,15 +146,15 @@
         fan_out: int = engine.ANNOUNCE_FAN_OUT,
         policy: type[placement.Placement] = placement.BoundedHash,
     ) -> None:
-        """Start VMs spread over zones.
+        """Start VMs, distributed evenly over zones.
 
         Args:
             count: Number of VMs.
             zones: Names of the zones.
-            seed: Seed of every random choice.
-            loss: Share of datagrams lost; a link repeats instead.
-            fan_out: VMs to which a newer configuration is announced.
-            policy: Places new flows.
+            seed: Seed of all random choices.
+            loss: Share of datagrams that are lost; links retransmit theirs.
+            fan_out: Number of VMs to which a VM announces a newer configuration.
+            policy: Placement policy of new flows.
         """
         self.now_ms = float(START_MS)
         self.vms: list[Vm] = []
@@ -161,18 +165,26 @@
         self._fan_out = fan_out
         self._policy = policy
         self._queue: list[tuple[float, int, typing.Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._call_numbers = itertools.count()
         self._clock = task.Clock()
         self._clock.rightNow = START_MS / 1000
         self.platform = emulated_platform.EmulatedStore(self._clock)
-        self._by_peer: dict[packet.Address, Vm] = {}
-        self._by_link: dict[packet.Address, Vm] = {}
-        self.call_later(0.0, self._step_store)
+        self._vm_by_peer_address: dict[packet.Address, Vm] = {}
+        self._vm_by_link_address: dict[packet.Address, Vm] = {}
+        self.call_later(0.0, self._tick_store)
         for index in range(count):
             self.add_vm(index, zones[index % len(zones)])
 
     def add_vm(self, index: int, zone: str) -> Vm:
-        """Start the VM with a number and list it at the platform."""
+        """Start a VM and list it at the platform.
+
+        Args:
+            index: Index of the VM, which determines its name and address.
+            zone: Its availability zone.
+
+        Returns:
+            The VM.
+        """
         ip = f"10.0.{index // 250}.{index % 250 + 1}"
         me = member.Member(
             f"vm{index + 1}",
@@ -186,29 +198,29 @@
         )
         seeds = [peer.address_of(item.me) for item in self.vms[:3]]
         rng = random.Random(self._rng.random())
-        vm = Vm(me, _Engine(me, seeds, rng, self._fan_out, self._policy()))
+        vm = Vm(me, _FanOutEngine(me, seeds, rng, self._fan_out, self._policy()))
         vm.watcher = watcher.Watcher(
             self._clock, self.platform, zone, lambda event: self.feed(vm, event), rng
         )
         self.vms.append(vm)
-        self._by_peer[peer.address_of(me)] = vm
-        self._by_link[packet.address(f"{ip}:6082")] = vm
-        self._list(me)
+        self._vm_by_peer_address[peer.address_of(me)] = vm
+        self._vm_by_link_address[packet.address(f"{ip}:6082")] = vm
+        self._list_at_platform(me)
         self.call_later(self._rng.random() * engine.TICK_MS, lambda: self._tick(vm))
         return vm
 
     def put_rules(self, document: config.Document) -> None:
-        """Put a document into the store as an accepted change would."""
+        """Write a configuration document to the store, as an accepted change does."""
         put = store.Put(store.RULES_KEY, config.encode(document))
         self.platform.write((), (put,))
 
     def call_later(self, delay_ms: float, call: typing.Callable[[], None]) -> None:
-        """Call something after a delay in virtual milliseconds."""
-        entry = (self.now_ms + delay_ms, next(self._numbers), call)
+        """Schedule a call after a delay in virtual milliseconds."""
+        entry = (self.now_ms + delay_ms, next(self._call_numbers), call)
         heapq.heappush(self._queue, entry)
 
     def run(self, ms: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time by some milliseconds and run the calls due in it."""
         until_ms = self.now_ms + ms
         while self._queue and self._queue[0][0] <= until_ms:
             self.now_ms, _, call = heapq.heappop(self._queue)
@@ -216,7 +228,15 @@
         self.now_ms = until_ms
 
     def run_until(self, done: typing.Callable[[], bool], limit_ms: float) -> bool:
-        """Let time pass until something holds; False when it never did."""
+        """Run until a condition holds.
+
+        Args:
+            done: The condition, checked every 20 ms of virtual time.
+            limit_ms: Longest virtual time to run.
+
+        Returns:
+            Whether the condition holds.
+        """
         end_ms = self.now_ms + limit_ms
         while self.now_ms < end_ms:
             if done():
@@ -225,24 +245,24 @@
         return done()
 
     def ready(self) -> bool:
-        """Tell whether every living VM serves and knows all the others."""
+        """Return whether every living VM serves and has all others as serving members."""
         living = sum(item.alive for item in self.vms)
         return all(
-            item.engine.membership.me.serves and self._knows(item) == living
+            item.engine.membership.me.serves and self._count_serving(item) == living
             for item in self.vms
             if item.alive
         )
 
-    def _knows(self, vm: Vm) -> int:
+    def _count_serving(self, vm: Vm) -> int:
         return sum(item.serves for item in vm.engine.membership.members)
 
     def kill(self, vm: Vm) -> None:
-        """End a VM without warning."""
+        """Stop a VM without notice to the others."""
         vm.alive = False
         vm.watcher.set_active(False)
 
     def traffic(self) -> Traffic:
-        """Return the control traffic of all VMs so far."""
+        """Return the control traffic that all VMs sent so far."""
         counts = [item.engine.outbox.counts for item in self.vms]
         return Traffic(
             sum(item[message.Counter.CONTROL_SENT] for item in counts),
@@ -250,11 +270,11 @@
         )
 
     def draw_delay_ms(self) -> float:
-        """Draw the time a datagram takes."""
+        """Draw the delay of a datagram in milliseconds."""
         return DELAY_MS + self._rng.random() * JITTER_MS
 
     def feed(self, vm: Vm, event: message.Event) -> None:
-        """Feed an event to a living VM and carry its actions out."""
+        """Feed an event to the engine of a living VM and carry out its actions."""
         if not vm.alive:
             return
         before_ns = time.thread_time_ns()
@@ -263,9 +283,9 @@
         vm.events_fed += 1
         vm.in_force_ms.setdefault(vm.engine.keeper.sequence, self.now_ms)
         for action in actions:
-            self._do(vm, action)
+            self._carry_out(vm, action)
 
-    def _do(self, vm: Vm, action: message.Action) -> None:
+    def _carry_out(self, vm: Vm, action: message.Action) -> None:
         match action:
             case message.SendDatagram() if self.on_data is not None:
                 self.on_data(vm, action)
@@ -282,7 +302,7 @@
 
     def _send_peer(self, vm: Vm, action: message.SendPeer) -> None:
         vm.record_sent(action.payload)
-        receiver = self._by_peer.get(action.destination)
+        receiver = self._vm_by_peer_address.get(action.destination)
         if receiver is None or self._rng.random() < self._loss:
             return
         event = message.PeerDatagram(peer.address_of(vm.me), action.payload)
@@ -290,7 +310,7 @@
 
     def _send_link(self, vm: Vm, action: message.SendLink) -> None:
         vm.record_sent(action.payload)
-        receiver = self._by_link[action.destination]
+        receiver = self._vm_by_link_address[action.destination]
         event = message.LinkReceived(vm.me.name, action.payload)
         wait_ms = 2 * self.draw_delay_ms()
         while self._rng.random() < self._loss:
@@ -302,11 +322,11 @@
             self.feed(vm, message.Tick())
             self.call_later(engine.TICK_MS, lambda: self._tick(vm))
 
-    def _step_store(self) -> None:
-        self._clock.advance(STORE_STEP_MS / 1000)
-        self.call_later(STORE_STEP_MS, self._step_store)
+    def _tick_store(self) -> None:
+        self._clock.advance(STORE_TICK_MS / 1000)
+        self.call_later(STORE_TICK_MS, self._tick_store)
 
-    def _list(self, me: member.Member) -> None:
+    def _list_at_platform(self, me: member.Member) -> None:
         value = {
             "zone": me.zone,
             "ip": me.ip,
@@ -318,12 +338,12 @@
 
 
 def message_code(item: wire.PeerMessage) -> int:
-    """Return the code under which ``Vm.kinds`` counts a message."""
-    return wire.encode(item)[_CODE_AT]
+    """Return the code of a message, the key of ``Vm.messages_by_code``."""
+    return wire.encode(item)[_CODE_INDEX]
 
 
 def rules_text(services: int, targets: int, zones: typing.Sequence[str]) -> str:
-    """Return rules with targets of weights 1:1:1:2:2:4:4 spread over services.
+    """Return rules with targets of weights 1:1:1:2:2:4:4 in all services.
 
     Args:
         services: Number of services.
@@ -347,7 +367,12 @@
 
 
 def document(sequence: int, text: str) -> config.Document:
-    """Return the document of one accepted change."""
+    """Return the configuration document of an accepted change.
+
+    Args:
+        sequence: Its sequence.
+        text: The rules.
+    """
     return config.Document(
         sequence, f"change-{sequence}", "measurement", START_MS, text, "", ()
     )
