--- a/eelgrasswick/emulation/virtual_fleet.py
+++ b/eelgrasswick/emulation/virtual_fleet.py
@@ -33,8 +33,10 @@
 from eelgrasswick.homes import engine
 
 START_MS: typing.Final = 1_800_000_000_000
+# A datagram takes ``DELAY_MS`` and up to ``JITTER_MS`` more.
 DELAY_MS: typing.Final = 0.5
 JITTER_MS: typing.Final = 1.0
+# Delay that each loss adds to a message on a link.
 RETRANSMIT_MS: typing.Final = 200.0
 STORE_TICK_MS: typing.Final = 5.0
 _CODE_INDEX: typing.Final = 1
@@ -116,7 +118,7 @@
 
     def record_sent(self, payload: bytes) -> None:
         """Count a message that this VM sends, by its code."""
-        # Every message is a CBOR array whose first item is its code.
+        # Each message is a CBOR array, whose first item is the message code.
         self.messages_by_code[payload[_CODE_INDEX]] += 1
         self.bytes_by_code[payload[_CODE_INDEX]] += len(payload)
 
@@ -245,7 +247,7 @@
         return done()
 
     def ready(self) -> bool:
-        """Return whether every living VM serves and has all others as serving members."""
+        """Return whether every living VM serves and lists all others as serving."""
         living = sum(item.alive for item in self.vms)
         return all(
             item.engine.membership.me.serves and self._count_serving(item) == living
