--- a/eelgrasswick/emulation/cookie_load.py
+++ b/eelgrasswick/emulation/cookie_load.py
@@ -279,6 +279,7 @@
     def _start_work(self, target: _Target, flow: _Flow) -> None:
         target.busy_slots += 1
         target.requests_begun += 1
+        # The mean of this lognormal distribution is 1.133.
         work_ms = self._rng.lognormvariate(0, 0.5) / 1.133 * self._load.work_ms
         took_ms = work_ms * target.server.slowness
         if self._scheduler.now_ms < target.cold_until_ms:
--- a/eelgrasswick/emulation/model.py
+++ b/eelgrasswick/emulation/model.py
@@ -18,7 +18,7 @@
     """One request of a caller, with all its attempts.
 
     Attributes:
-        number: Unique in a run.
+        number: Number that is unique in a run.
         work: Kind of the request.
         caller: Index of its caller.
         began_ms: When its first attempt began.
--- a/eelgrasswick/emulation/open_load.py
+++ b/eelgrasswick/emulation/open_load.py
@@ -261,6 +261,7 @@
     def _start_work(self, target: _Target, attempt: _Attempt) -> None:
         target.busy_slots += 1
         kind = attempt.request.kind
+        # The mean of this lognormal distribution is 1.133.
         work_ms = self._rng.lognormvariate(0, 0.5) / 1.133 * kind.work_ms
         self._scheduler.call_later(
             work_ms * target.server.slowness, self._finish_work, target, attempt
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -22,7 +22,8 @@
 # Interval at which VMs exchange their load reports.
 REPORT_INTERVAL_MS: typing.Final = 1000
 TICK_INTERVAL_MS: typing.Final = 250
-PROBE_TIMEOUT_MS: typing.Final = 250
+# Time from a probe to its answer, or to the detection that there is none.
+PROBE_DURATION_MS: typing.Final = 250
 OVERDUE_CHECK_INTERVAL_MS: typing.Final = 100
 # Delay of the witnesses that VMs of a zone send one another for overdue requests.
 WITNESS_DELAY_MS: typing.Final = 150
@@ -151,16 +152,16 @@
         for zone in ZONES * self._vms_per_zone:
             self._add_vm(zone, len(self.vms))
 
-    def restart(self, number: int, value: bytes) -> None:
+    def restart(self, index: int, value: bytes) -> None:
         """Write the row of a target that restarts.
 
         Args:
-            number: Index of the target.
+            index: Index of the target.
             value: New value of the row.
         """
-        old_row = self._reader.rows()[1 + number]
+        old_row = self._reader.rows()[1 + index]
         row = self.write(old_row.key, value)
-        self._index_by_cookie[self._reader.target(row).cookie] = number
+        self._index_by_cookie[self._reader.target(row).cookie] = index
 
     def write(self, key: str, value: bytes | None) -> source.Row:
         """Write a row to the store; all VMs receive the update within a second.
@@ -230,7 +231,7 @@
         )
         if decision.probe is not None:
             self._scheduler.call_later(
-                PROBE_TIMEOUT_MS, self._finish_probe, vm, decision.probe
+                PROBE_DURATION_MS, self._finish_probe, vm, decision.probe
             )
         return decision
 
@@ -259,7 +260,7 @@
             targets, witnesses = vm.observations.take_overdue(self._scheduler.now_ms)
             for target in targets:
                 self._scheduler.call_later(
-                    PROBE_TIMEOUT_MS, self._finish_probe, vm, target
+                    PROBE_DURATION_MS, self._finish_probe, vm, target
                 )
             if witnesses:
                 self._scheduler.call_later(
