--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -313,7 +313,7 @@
             now_ms, self.membership.me, self.config_sync.watching, serving
         )
         counts = self.tables.flows.open_by_target
-        recent = self.opener.chooser.work.recent_tenths(now_ms)
+        recent = self.opener.chooser.work.recent_flow_tenths(now_ms)
         report = load.report(counts, recent)
         for name in serving:
             self.peers.send_link(name, report)
--- a/eelgrasswick/soak/caller.py
+++ b/eelgrasswick/soak/caller.py
@@ -87,7 +87,7 @@
         now_s = time.monotonic()
         self._cookie = item.echo or self._cookie
         if item.flags & packets.RST:
-            self._on_reset(item.unsummed)
+            self._on_reset(item.without_checksum)
         elif item.flags & packets.SYN:
             if not self._open:
                 self._open = True
--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -131,7 +131,7 @@
         round((after.messages - before.messages) / vm_s, 1),
         round(cpu_ns / 1e9 / vm_s, 4),
         round(calls / MEASURED_MS * 1000, 2),
-        fleet.platform.watching,
+        fleet.platform.open_watches,
         round(_open_us(fleet), 1),
     )
 
@@ -153,14 +153,14 @@
 
 def _heartbeat_bytes(fleet: virtual_fleet.VirtualFleet) -> int:
     codes = [
-        virtual_fleet.code_of(item)
+        virtual_fleet.message_code(item)
         for item in (
             wire.Ping(0, fleet.vms[0].me, 0, ()),
             wire.Ack(0, fleet.vms[0].me, 0, ()),
             wire.IndirectPingRequest(0, ""),
         )
     ]
-    return sum(vm.sizes[code] for vm in fleet.vms for code in codes)
+    return sum(vm.bytes_by_code[code] for vm in fleet.vms for code in codes)
 
 
 def measure_rules(lines: int) -> RulesPoint:
--- a/eelgrasswick/trials/trial_engine.py
+++ b/eelgrasswick/trials/trial_engine.py
@@ -133,9 +133,9 @@
         cpu_before_ns = sum(vm.cpu_ns for vm in self._fleet.vms)
         span_ms = self._load.duration_s * 1000.0
         for item in trial_load.generate_flows(self._load, warm_up=False):
-            self._fleet.later(item.at_ms, lambda item=item: self._open_flow(item))  # type: ignore[misc]
-        self._fleet.later(span_ms / 2, self._drain_target)
-        self._fleet.later(span_ms * 3 / 4, self._kill_vm)
+            self._fleet.call_later(item.at_ms, lambda item=item: self._open_flow(item))  # type: ignore[misc]
+        self._fleet.call_later(span_ms / 2, self._drain_target)
+        self._fleet.call_later(span_ms * 3 / 4, self._kill_vm)
         self._fleet.run(span_ms)
         after = self._fleet.traffic()
         cpu_ns = sum(vm.cpu_ns for vm in self._fleet.vms) - cpu_before_ns
@@ -181,7 +181,7 @@
     def _kill_vm(self) -> None:
         dead = self._fleet.vms[0]
         self._fleet.kill(dead)
-        self._fleet.later(FABRIC_DETECTION_MS, lambda: self._routed_vms.remove(dead))
+        self._fleet.call_later(FABRIC_DETECTION_MS, lambda: self._routed_vms.remove(dead))
 
     # The following methods model the callers.
 
@@ -194,10 +194,12 @@
         if caller.finished or caller.step != step:
             return
         self._send_to_fleet(_FABRIC_ADDRESS, caller.request())
-        self._fleet.later(RETRANSMIT_MS, lambda: self._send(caller, step))
+        self._fleet.call_later(RETRANSMIT_MS, lambda: self._send(caller, step))
 
     def _to_caller(self, vm: virtual_fleet.Vm, action: message.SendFabric) -> None:
-        self._fleet.later(self._fleet.delay_ms(), lambda: self._receive(action.payload))
+        self._fleet.call_later(
+            self._fleet.draw_delay_ms(), lambda: self._receive(action.payload)
+        )
 
     def _receive(self, payload: bytes) -> None:
         item = self._codec.decode(payload)
@@ -208,13 +210,13 @@
             caller.step += 1
             step = caller.step
             wait_ms = caller.flow.interval_ms if 1 < step < caller.steps else 0.0
-            self._fleet.later(wait_ms, lambda: self._send(caller, step))
+            self._fleet.call_later(wait_ms, lambda: self._send(caller, step))
 
     # The following methods model the targets.
 
     def _to_target(self, vm: virtual_fleet.Vm, action: message.SendDatagram) -> None:
-        self._fleet.later(
-            self._fleet.delay_ms(),
+        self._fleet.call_later(
+            self._fleet.draw_delay_ms(),
             lambda: self._answer_packet(action.destination, action.payload),
         )
 
@@ -236,7 +238,9 @@
     def _send_to_fleet(self, source: packet.Address, payload: bytes) -> None:
         vm = self._rng.choice(self._routed_vms)
         event = message.FabricDatagram(source, payload)
-        self._fleet.later(self._fleet.delay_ms(), lambda: self._deliver(vm, event))
+        self._fleet.call_later(
+            self._fleet.draw_delay_ms(), lambda: self._deliver(vm, event)
+        )
 
     def _deliver(self, vm: virtual_fleet.Vm, event: message.FabricDatagram) -> None:
         self._delivered += vm.alive
@@ -249,7 +253,7 @@
 
 
 def _policy(load: trial_load.Load) -> type[placement.Placement]:
-    return placement.BoundedHash if load.learns_capacity else virtual_fleet.ClaimedHash
+    return placement.BoundedHash if load.learns_capacity else virtual_fleet.ClaimedWeightHash
 
 
 def _caller_packet(
--- a/eelgrasswick/trials/trial_overload.py
+++ b/eelgrasswick/trials/trial_overload.py
@@ -57,17 +57,17 @@
     if load is None:
         known = ", ".join(open_scenario.LOADS)
         raise errors.ScenarioInvalidError(f"no load {name!r}; there are {known}")
-    ends = open_load.Play(load, segments.Codec(), seed).run()
+    ends = open_load.Simulation(load, segments.Codec(), seed).run()
     if plot is not None:
         _draw(load, ends, plot, f"{name}, seed {seed}")
-    counted = asked_between(ends, WARM_UP_MS, load.length_ms - COOL_DOWN_MS)
+    counted = asked_between(ends, WARM_UP_MS, load.duration_ms - COOL_DOWN_MS)
     kinds = [f"{kind.name}:{_worth_of_kind(counted, kind):.3f}" for kind in load.kinds]
     return Row(
         name,
         seed,
         len(counted),
-        round(open_load.worth(counted), 3),
-        round(open_load.best(load), 3),
+        round(open_load.worth_ratio(counted), 3),
+        round(open_load.max_worth_ratio(load), 3),
         round(sum(item.in_time for item in counted) / len(counted), 3),
         round(sum(item.took_ms is not None for item in counted) / len(counted), 3),
         ",".join(kinds),
@@ -77,7 +77,7 @@
 def _worth_of_kind(
     ends: typing.Iterable[open_load.End], kind: open_scenario.Kind
 ) -> float:
-    return open_load.worth(item for item in ends if item.kind is kind)
+    return open_load.worth_ratio(item for item in ends if item.kind is kind)
 
 
 def asked_between(
@@ -103,7 +103,7 @@
         elif item.in_time:
             outcome = "in_time"
         counts[outcome][item.asked_ms // BIN_MS] += 1
-    bins = range(load.length_ms // BIN_MS)
+    bins = range(load.duration_ms // BIN_MS)
     parts = [
         chart.Series(outcome, color, [counts[outcome][number] for number in bins])
         for outcome, color in (
@@ -114,6 +114,6 @@
     ]
     marks = [
         chart.Mark(item.kind, item.at_ms / 1000, item.until_ms / 1000)
-        for item in load.troubles
+        for item in load.events
     ]
     chart.draw(path, title, BIN_MS / 1000, parts, marks)
--- a/eelgrasswick/trials/trial_spread.py
+++ b/eelgrasswick/trials/trial_spread.py
@@ -83,7 +83,7 @@
         round((after.pulls - before.pulls) / vm_changes, 2),
         round((after.offers - before.offers) / vm_changes, 2),
         round(calls / passed_ms * 1000, 2),
-        fleet.platform.watching,
+        fleet.platform.open_watches,
         sum(item.missing for item in changes),
     )
 
@@ -116,10 +116,10 @@
 
 
 def _sent_counts(fleet: virtual_fleet.VirtualFleet) -> _SentCounts:
-    pull = virtual_fleet.code_of(wire.ConfigRequest(0))
-    offer = virtual_fleet.code_of(wire.ConfigResponse(b""))
+    pull = virtual_fleet.message_code(wire.ConfigRequest(0))
+    offer = virtual_fleet.message_code(wire.ConfigResponse(b""))
     return _SentCounts(
         sum(vm.announced for vm in fleet.vms),
-        sum(vm.kinds[pull] for vm in fleet.vms),
-        sum(vm.kinds[offer] for vm in fleet.vms),
+        sum(vm.messages_by_code[pull] for vm in fleet.vms),
+        sum(vm.messages_by_code[offer] for vm in fleet.vms),
     )
--- a/tests/test_gateway_watch.py
+++ b/tests/test_gateway_watch.py
@@ -21,7 +21,7 @@
         """Connect the gateway and the store in memory."""
         self.clock = task.Clock()
         self.store = emulated_platform.EmulatedStore(self.clock)
-        site = emulated_platform.Site(self.store)
+        site = emulated_platform.StoreResource(self.store)
         self.agent = testing.RequestTraversalAgent(site)
         reactor: typing.Any = self.clock
         self.gateway = gateway.Gateway(reactor, "http://platform", 1000)
@@ -73,10 +73,10 @@
     each such change would add one open call at the platform.
     """
     watching = local.watch()
-    assert local.store.watching == 1
+    assert local.store.open_watches == 1
     watching.cancel()
     local.flush()
-    assert local.store.watching == 0
+    assert local.store.open_watches == 0
     local.put(b"late")
     assert local.rows == []
 
--- a/tests/test_trial_steering.py
+++ b/tests/test_trial_steering.py
@@ -11,7 +11,7 @@
 
 def test_requests_are_counted_in_half_second_bins_by_outcome() -> None:
     """A request is counted in a wrong bin, or after the end of the load."""
-    load = cookie_scenario.ORDINARY._replace(length_ms=1000)
+    load = cookie_scenario.ORDINARY._replace(duration_ms=1000)
     ends = [
         cookie_load.End(100, 80),
         cookie_load.End(499, 400),
@@ -53,7 +53,7 @@
     In that case all callers would have to open new flows.
     """
     load = cookie_scenario.LOADS["power_off"]
-    run = cookie_load.Play(load, trial_steering.segments.Codec(), 1)
+    run = cookie_load.Simulation(load, trial_steering.segments.Codec(), 1)
     run.run()
     bins = trial_steering.timeline(load, run.ends)
     assert sum(item.failed for item in bins[24:]) == 0
