--- a/eelgrasswick/trials/trial_engine.py
+++ b/eelgrasswick/trials/trial_engine.py
@@ -181,7 +181,9 @@
     def _kill_vm(self) -> None:
         dead = self._fleet.vms[0]
         self._fleet.kill(dead)
-        self._fleet.call_later(FABRIC_DETECTION_MS, lambda: self._routed_vms.remove(dead))
+        self._fleet.call_later(
+            FABRIC_DETECTION_MS, lambda: self._routed_vms.remove(dead)
+        )
 
     # The following methods model the callers.
 
@@ -253,7 +255,11 @@
 
 
 def _policy(load: trial_load.Load) -> type[placement.Placement]:
-    return placement.BoundedHash if load.learns_capacity else virtual_fleet.ClaimedWeightHash
+    return (
+        placement.BoundedHash
+        if load.learns_capacity
+        else virtual_fleet.ClaimedWeightHash
+    )
 
 
 def _caller_packet(
