--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -96,7 +96,7 @@
             key.protocol, key.service_ip, key.service_port
         )
         if flow_service is None:
-            return {**facts, "reason": "no rule has this address"}
+            return {**facts, "reason": "no rule names this address"}
         place = current.locate(key, flow_service)
         default = place.default.name if place.default is not None else NONE
         facts["service"] = flow_service.name
@@ -143,7 +143,7 @@
         current = self._tables.epochs.current
         known = current.config.targets.get(name) if current is not None else None
         if known is None:
-            return {**facts, "reason": "no rule has this target"}
+            return {**facts, "reason": "no rule names this target"}
         facts.update(_rule_facts(known))
         suspected = self._tables.health.suspected(now_ms, name)
         facts["suspected"] = _yes_no(suspected)
@@ -170,7 +170,7 @@
 
 def _target_reason(known: target.Target, suspected: bool, flows: int) -> str:
     if not known.accepts:
-        cause = "its removal from the rules" if known.retired else "a drain rule"
+        cause = "its line has left the rules" if known.retired else "a drain rule"
         left = f"{flows} open flows stay until they end" if flows else "it is empty"
         return f"gets no new flow because of {cause}; {left}"
     if suspected:
@@ -183,22 +183,16 @@
     if known == NONE:
         if facts["home"] != me:
             return "this VM is not the home; the home decides"
-        return (
-            "no record here: the flow has not begun, has ended, or no inquiry about "
-            "it was sent to former homes"
-        )
+        return "no record here: the flow has not begun, has ended or was not asked for"
     if facts["origin"] == "guessed":
-        return "no VM had a record; possible targets are tried until one answers"
+        return "no VM had a record; tried until a target answers"
     if known == facts["default_target"]:
-        return "on the default target that hashing selects under this configuration"
+        return "on the default target that hashing gives under this configuration"
     if flow_service.retired:
-        return (
-            "its service was removed from the rules; the flow stays on the target "
-            "where it began"
-        )
+        return "its service has left the rules; the flow stays where it began"
     return (
-        "not on its default target: the default was loaded or silent when the flow "
-        "opened, or the default changed afterwards"
+        "not on its default target: placed elsewhere when it opened, for load or "
+        "silence, or the default changed after it opened"
     )
 
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize(
     ("text", "reason"),
     [
-        ("tcp/10.9.0.1:4000>10.7.7.7:1", "no rule has this address"),
+        ("tcp/10.9.0.1:4000>10.7.7.7:1", "no rule names this address"),
         ("tcp/10.9.0.1:4000>10.1.0.1:443", "no record here"),
     ],
 )
@@ -88,7 +88,7 @@
 def test_unknown_target_gets_a_reason(small_world: world.World) -> None:
     """A target without a rule must be explained and not be an error."""
     facts = facts_from(small_world, "vm1", wire.ExplainTargetRequest("nobody"))
-    assert facts["reason"] == "no rule has this target"
+    assert facts["reason"] == "no rule names this target"
 
 
 @given(strategies.text(max_size=60))
