--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -11,7 +11,6 @@
     clock,
     codec,
     event_log,
-    knowledge,
     model,
     observations,
     settings,
@@ -19,6 +18,7 @@
     stall,
     stats,
     steering,
+    store_replica,
 )
 from eelgrasswick.decisions import cold_start, overload
 
@@ -41,7 +41,7 @@
 
     Attributes:
         codec: Reads and writes the fabric's packets.
-        knowledge: This VM's copy of the store, with its age.
+        replica: This VM's copy of the store, with its age.
         catalog: Routes and targets.
         observations: Observations of flows and targets.
         log: The log.
@@ -49,7 +49,7 @@
     """
 
     codec: codec.SegmentCodec
-    knowledge: knowledge.Knowledge
+    replica: store_replica.StoreReplica
     catalog: catalog.Catalog
     observations: observations.Observations
     log: event_log.EventLog
@@ -88,7 +88,7 @@
         self.probe: typing.Callable[[model.Target], None] = _ignore_target
         self._caller_port = caller_port
         self._codec = parts.codec
-        self._knowledge = parts.knowledge
+        self._replica = parts.replica
         self._catalog = parts.catalog
         self._observations = parts.observations
         self._log = parts.log
@@ -149,7 +149,7 @@
             self._stats.counts["packets_dropped_old"] += 1
             self._log.write("flow_dropped_old", flow=segment.flow)
             return
-        age_ms = self._knowledge.age_ms(now_ms)
+        age_ms = self._replica.age_ms(now_ms)
         decision = self.steering.steer(now_ms, age_ms, segment, raw)
         self._send(segment, decision)
         self._account(age_ms, segment, decision)
@@ -194,8 +194,8 @@
             target=target.name if target is not None else "-",
             zone=target.zone if target is not None else "-",
             on_target=self._flows_on(target),
-            revision=self._knowledge.revision,
-            age_ms=knowledge.reported_age_ms(age_ms),
+            revision=self._replica.revision,
+            age_ms=store_replica.reported_age_ms(age_ms),
             **self._withheld_fields(decision),
             **self._overload_fields(target),
         )
@@ -254,7 +254,7 @@
         own = self._observations.tracker.flows_on(target.cookie)
         return own + self._observations.reports.flows_on(target.cookie)
 
-    def apply_rows(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
+    def apply_rows(self, now_ms: int, merge: store_replica.Merge, origin: str) -> None:
         """Apply rows of the store that are new to this VM.
 
         Args:
@@ -264,7 +264,7 @@
         """
         if not merge.rows:
             return
-        gap_ms = knowledge.reported_age_ms(merge.previous_age_ms)
+        gap_ms = store_replica.reported_age_ms(merge.previous_age_ms)
         for note in self._catalog.update(now_ms, merge):
             self._log.write(note.event, **note.fields, origin=origin, gap_ms=gap_ms)
 
@@ -288,7 +288,7 @@
     target_catalog = catalog.Catalog(reader)
     parts = Parts(
         segment_codec,
-        knowledge.Knowledge(),
+        store_replica.StoreReplica(),
         target_catalog,
         observations.Observations(
             vm.zone,
--- a/eelgrasswick/cookie/catalog.py
+++ b/eelgrasswick/cookie/catalog.py
@@ -7,10 +7,10 @@
 from eelgrasswick.cookie import (
     cold_targets,
     evacuation,
-    knowledge,
     model,
     owners,
     source,
+    store_replica,
 )
 
 # An entry that is missing after an outage of the store stays usable for this long.
@@ -76,7 +76,7 @@
         self._lapsed: dict[str, _Lapsed] = {}
         self._services: frozenset[str] = frozenset()
         self._owners = owners.Owners()
-        self._confirmed_ms = knowledge.NEVER_MS
+        self._confirmed_ms = store_replica.NEVER_MS
         self._settle_left_ms = 0
         # A dict keeps insertion order, so that the oldest route is evicted first.
         self._dropped_routes: dict[tuple[bytes, int], None] = {}
@@ -154,7 +154,7 @@
         """Return the configuration of a service, or None."""
         return self.config.services.get(name) if self.config is not None else None
 
-    def update(self, now_ms: int, merge: knowledge.Merge) -> list[LogEvent]:
+    def update(self, now_ms: int, merge: store_replica.Merge) -> list[LogEvent]:
         """Apply the rows that a merge changed.
 
         Returns:
@@ -314,7 +314,7 @@
             return []
         return self._owners.record_entry(target, row.revision)
 
-    def _lapsed_together(self, merge: knowledge.Merge) -> bool:
+    def _lapsed_together(self, merge: store_replica.Merge) -> bool:
         if merge.previous_age_ms <= SHORT_OUTAGE_AGE_MS:
             return False
         rows = [row for row in merge.rows if row.value is None]
--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -12,12 +12,12 @@
     clock,
     forwarding,
     gossip,
-    knowledge,
     offer,
     peers,
     settings,
     source,
     stopping,
+    store_replica,
     store_watch,
     transfer,
     twisted_errors,
@@ -83,7 +83,7 @@
         self._carrier = parts.carrier
         self._stats = parts.carrier.parts.stats
         self._log = parts.carrier.parts.log
-        self._knowledge = parts.carrier.parts.knowledge
+        self._replica = parts.carrier.parts.replica
         self._catalog = parts.carrier.parts.catalog
         self._observations = parts.carrier.parts.observations
         self._forwarder = forwarding.Forwarder(reactor, parts.carrier, self._on_unsent)
@@ -94,7 +94,7 @@
         self._catalog.on_ended = self._forwarder.reset_ended_target
         self._forwarder.on_dead = self._gossip.report_dead_target
         self._store_watch = store_watch.StoreWatch(
-            parts.source, self._knowledge, self._gossip.publish_merge, self._log, rng
+            parts.source, self._replica, self._gossip.publish_merge, self._log, rng
         )
         self._stop_requested_ms: int | None = None
         self._was_ready = False
@@ -103,7 +103,7 @@
 
     def _gossip_parts(self) -> gossip.Parts:
         return gossip.Parts(
-            self._knowledge,
+            self._replica,
             self._carrier.apply_rows,
             self._observations.reports,
             self._log,
@@ -168,7 +168,7 @@
         vm = self._settings.vm
         reactor = self._reactor
         transfers = transfer.ServerFactory(
-            offer.OfferEncoder(self._knowledge.changes_since, self._gossip.sender_state)
+            offer.OfferEncoder(self._replica.changes_since, self._gossip.sender_state)
         )
         probe = web.WebFactory({self._ready_path: self._ready_page})
         pages = web.WebFactory({METRICS_PATH: self._metrics_page})
@@ -213,7 +213,7 @@
         vms = self._gossip.peers
         self._observations.cold.limits.update_fleet(now_ms, vms.hosts(), len(vms))
         self._carrier.log_overloads()
-        self._catalog.tick(now_ms, self._knowledge.confirmed_ms)
+        self._catalog.tick(now_ms, self._replica.confirmed_ms)
         self._gossip.send_requests(
             now_ms, self._observations.report(), self._store_watch.store_responds
         )
@@ -226,7 +226,7 @@
         ready = self._ready
         if ready != self._was_ready:
             self._was_ready = ready
-            age_ms = knowledge.reported_age_ms(self._knowledge.age_ms(now_ms))
+            age_ms = store_replica.reported_age_ms(self._replica.age_ms(now_ms))
             self._log.write("ready" if ready else "not_ready", age_ms=age_ms)
         self._log.flush()
         if self._stop_requested_ms is not None:
@@ -258,8 +258,10 @@
             peers=len(self._gossip.peers),
             peer_reports=len(self._observations.reports),
             targets=len(self._catalog.targets),
-            revision=self._knowledge.revision,
-            knowledge_age_ms=knowledge.reported_age_ms(self._knowledge.age_ms(now_ms)),
+            revision=self._replica.revision,
+            knowledge_age_ms=store_replica.reported_age_ms(
+                self._replica.age_ms(now_ms)
+            ),
             store_calls=self._store_watch.calls,
         )
         return web.Page(200, self._stats.text())
--- a/eelgrasswick/cookie/exchange.py
+++ b/eelgrasswick/cookie/exchange.py
@@ -12,7 +12,7 @@
 import cbor2
 
 from eelgrasswick import errors
-from eelgrasswick.cookie import knowledge, peers, reports, source
+from eelgrasswick.cookie import peers, reports, source, store_replica
 from eelgrasswick.decisions import ejection
 
 # A message of this size and its headers fit in one packet on every link.
@@ -64,7 +64,7 @@
     """
 
     sends: tuple[Outgoing, ...]
-    merge: knowledge.Merge | None
+    merge: store_replica.Merge | None
     fetch_from: str
     joined: bool
     dead_cookies: tuple[int, ...]
@@ -95,7 +95,7 @@
     def __init__(
         self,
         zone: str,
-        replica: knowledge.Knowledge,
+        replica: store_replica.StoreReplica,
         other_vms: peers.Peers,
         received_reports: reports.Reports,
         rng: random.Random,
@@ -113,7 +113,7 @@
         self.report: reports.Report = ()
         self._reports = received_reports
         self._zone = zone
-        self._knowledge = replica
+        self._replica = replica
         self._peers = other_vms
         self._rng = rng
         self._number = rng.getrandbits(31)
@@ -131,7 +131,9 @@
             self._reports.forget(host)
         return [self._request(now_ms, host) for host in hosts], newly_dead
 
-    def update_messages(self, now_ms: int, merge: knowledge.Merge) -> list[Outgoing]:
+    def update_messages(
+        self, now_ms: int, merge: store_replica.Merge
+    ) -> list[Outgoing]:
         """Return the datagrams that push new rows to some other VMs."""
         if not merge.rows:
             return []
@@ -224,7 +226,7 @@
 
     def _response(self, now_ms: int, host: str, item: _Message) -> Outgoing:
         changes = None
-        if item.revision < self._knowledge.revision:
+        if item.revision < self._replica.revision:
             changes = self._changes_for_datagram(item.revision, self.report)
         return Outgoing(
             host, self._encode(now_ms, _RESPONSE, item.number, changes, self.report)
@@ -234,20 +236,20 @@
         pending = self._pending_requests.pop(item.number, None)
         if pending is not None and pending[0] == host:
             confirmed_ms = pending[1] - item.age_ms
-            self._knowledge.confirm(item.revision, confirmed_ms)
+            self._replica.confirm(item.revision, confirmed_ms)
             self._peers.record_response(host, confirmed_ms)
 
     def _merge(
         self, now_ms: int, host: str, item: _Message
-    ) -> tuple[knowledge.Merge | None, str]:
-        if item.revision <= self._knowledge.revision:
+    ) -> tuple[store_replica.Merge | None, str]:
+        if item.revision <= self._replica.revision:
             return None, ""
         changes = item.changes
-        if changes is None or changes.base > self._knowledge.revision:
+        if changes is None or changes.base > self._replica.revision:
             return None, host
-        if changes.base == 0 and self._knowledge.revision > 0:
+        if changes.base == 0 and self._replica.revision > 0:
             return None, host
-        return self._knowledge.merge(now_ms, changes), ""
+        return self._replica.merge(now_ms, changes), ""
 
     def _changes_for_datagram(
         self, base: int, report: reports.Report
@@ -255,7 +257,7 @@
         room = MAX_BYTES - _FRAME_BYTES - _ENTRY_BYTES * len(report)
         # A full listing never fits in a datagram. Measuring its size would cost an
         # encoding of the whole configuration.
-        changes = self._knowledge.changes_since(base)
+        changes = self._replica.changes_since(base)
         if changes.base == 0 or len(changes.rows) > MAX_ROWS:
             return None
         size = sum(len(row.key) + len(row.value or b"") + 8 for row in changes.rows)
@@ -274,8 +276,8 @@
             number,
             self._zone,
             self.reads_store,
-            self._knowledge.revision,
-            knowledge.reported_age_ms(self._knowledge.age_ms(now_ms)),
+            self._replica.revision,
+            store_replica.reported_age_ms(self._replica.age_ms(now_ms)),
             list(changes) if changes is not None else None,
             [list(member) for member in self._peers.sample()],
             [list(entry) for entry in entries],
--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -7,10 +7,10 @@
 from eelgrasswick.cookie import (
     carrying,
     clock,
-    knowledge,
     model,
     ports,
     probing,
+    store_replica,
 )
 from eelgrasswick.decisions import ejection
 
@@ -60,7 +60,7 @@
         ended_ms = clock.now_ms()
         if self._carrier.stalls.gap_since(now_ms, ended_ms):
             # The probe may have timed out while its answer was unread in the socket.
-            zone_answered_ms, missing = knowledge.NEVER_MS, False
+            zone_answered_ms, missing = store_replica.NEVER_MS, False
         dead = self._observations.liveness.record_probe(
             ended_ms, target.cookie, accepted, zone_answered_ms, missing
         )
@@ -70,7 +70,7 @@
             target=target.name,
             accepted=int(accepted),
             entry_missing=int(missing),
-            path_ms=knowledge.reported_age_ms(ended_ms - zone_answered_ms),
+            path_ms=store_replica.reported_age_ms(ended_ms - zone_answered_ms),
             flows_reset=self._reset_flows(target) if dead else 0,
         )
         if dead:
--- a/eelgrasswick/cookie/gossip.py
+++ b/eelgrasswick/cookie/gossip.py
@@ -10,13 +10,13 @@
     clock,
     event_log,
     exchange,
-    knowledge,
     model,
     offer,
     peers,
     ports,
     reports,
     stats,
+    store_replica,
     transfer,
 )
 from eelgrasswick.decisions import ejection
@@ -26,7 +26,7 @@
     """The data that gossip shares, and the callbacks for received messages.
 
     Attributes:
-        knowledge: This VM's copy of the store's rows.
+        replica: This VM's copy of the store's rows.
         on_merge: Called with the time, the merge, and where its rows came from.
         reports: Records the other VMs' reports about targets.
         log: The event log.
@@ -37,8 +37,8 @@
             witness is to be passed on.
     """
 
-    knowledge: knowledge.Knowledge
-    on_merge: typing.Callable[[int, knowledge.Merge, str], None]
+    replica: store_replica.StoreReplica
+    on_merge: typing.Callable[[int, store_replica.Merge, str], None]
     reports: reports.Reports
     log: event_log.EventLog
     stats: stats.Stats
@@ -78,7 +78,7 @@
         self.peers = peers.Peers(own_address.host, zone, rng)
         self._reactor = reactor
         self._peer_port = own_address.port
-        self._knowledge = parts.knowledge
+        self._replica = parts.replica
         self._on_merge = parts.on_merge
         self._log = parts.log
         self._stats = parts.stats
@@ -86,15 +86,15 @@
         self._check_target = parts.check_target
         self._on_witness = parts.on_witness
         self._exchange = exchange.Exchange(
-            zone, parts.knowledge, self.peers, parts.reports, rng
+            zone, parts.replica, self.peers, parts.reports, rng
         )
         self._fetching: set[str] = set()
 
     def sender_state(self) -> offer.SenderState:
         """Return the age and members that accompany rows sent to another VM."""
-        age_ms = self._knowledge.age_ms(clock.now_ms())
+        age_ms = self._replica.age_ms(clock.now_ms())
         members = self.peers.members()
-        return offer.SenderState(knowledge.reported_age_ms(age_ms), tuple(members))
+        return offer.SenderState(store_replica.reported_age_ms(age_ms), tuple(members))
 
     def send_requests(
         self, now_ms: int, report: reports.Report, reads_store: bool
@@ -116,7 +116,9 @@
             self._log.write("peer_lost", peer=host, alive=len(self.peers))
         self.peers.expire(now_ms)
 
-    def publish_merge(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
+    def publish_merge(
+        self, now_ms: int, merge: store_replica.Merge, origin: str
+    ) -> None:
         """Apply new rows on this VM, and push them to other VMs."""
         self._on_merge(now_ms, merge, origin)
         for item in self._exchange.update_messages(now_ms, merge):
@@ -168,7 +170,7 @@
         address = model.Address(host, self._peer_port)
         try:
             received = await transfer.fetch(
-                self._reactor, address, self._knowledge.revision
+                self._reactor, address, self._replica.revision
             )
         except errors.EelgrasswickError as error:
             self._stats.counts["transfers_failed"] += 1
@@ -178,7 +180,7 @@
             self._fetching.discard(host)
         now_ms = clock.now_ms()
         self.publish_merge(
-            now_ms, received.merge_into(now_ms, requested_ms, self._knowledge), host
+            now_ms, received.merge_into(now_ms, requested_ms, self._replica), host
         )
         self.peers.add_members(now_ms, received.sender_state.members)
 
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -6,13 +6,13 @@
 from eelgrasswick.cookie import (
     catalog,
     cold_targets,
-    knowledge,
     liveness,
     model,
     placing,
     reports,
     silence,
     speed,
+    store_replica,
     tracker,
 )
 from eelgrasswick.decisions import cold_start, ejection, overload, response_time
@@ -303,7 +303,7 @@
 
     def zone_answered_ms(self, target: model.Target) -> int:
         """Return the time when a target of the same zone last answered."""
-        return self._answered_ms.get(target.zone, knowledge.NEVER_MS)
+        return self._answered_ms.get(target.zone, store_replica.NEVER_MS)
 
     def record_zone_answer(self, now_ms: int, zone: str) -> None:
         """Record that a target of a zone has answered."""
--- a/eelgrasswick/cookie/offer.py
+++ b/eelgrasswick/cookie/offer.py
@@ -11,7 +11,7 @@
 import cbor2
 
 from eelgrasswick import errors
-from eelgrasswick.cookie import exchange, knowledge, peers, source
+from eelgrasswick.cookie import exchange, peers, source, store_replica
 
 MAX_BYTES: typing.Final = 8_000_000
 # An offer consists of the encoded sender state and the encoded rows.
@@ -40,8 +40,8 @@
     changes: source.Changes
 
     def merge_into(
-        self, now_ms: int, requested_ms: int, replica: knowledge.Knowledge
-    ) -> knowledge.Merge:
+        self, now_ms: int, requested_ms: int, replica: store_replica.StoreReplica
+    ) -> store_replica.Merge:
         """Merge the offered rows into a VM's copy of the store, and confirm it.
 
         Args:
--- a/eelgrasswick/cookie/knowledge.py
+++ b/eelgrasswick/cookie/store_replica.py
@@ -37,7 +37,7 @@
     previous_age_ms: int
 
 
-class Knowledge:
+class StoreReplica:
     """A VM's copy of the store: rows by key, merged by revision.
 
     Attributes:
--- a/eelgrasswick/cookie/store_watch.py
+++ b/eelgrasswick/cookie/store_watch.py
@@ -6,9 +6,9 @@
 from twisted.internet import defer
 
 from eelgrasswick import errors
-from eelgrasswick.cookie import clock, event_log, knowledge, source, watch_policy
+from eelgrasswick.cookie import clock, event_log, source, store_replica, watch_policy
 
-MergeCallback = typing.Callable[[int, knowledge.Merge, str], None]
+MergeCallback = typing.Callable[[int, store_replica.Merge, str], None]
 _SOURCE_NAME: typing.Final = "store"
 
 
@@ -22,7 +22,7 @@
     def __init__(
         self,
         calls: source.ChangeSource,
-        replica: knowledge.Knowledge,
+        replica: store_replica.StoreReplica,
         on_merge: MergeCallback,
         log: event_log.EventLog,
         rng: random.Random,
@@ -38,7 +38,7 @@
         """
         self.calls = 0
         self._source = calls
-        self._knowledge = replica
+        self._replica = replica
         self._on_merge = on_merge
         self._log = log
         self._rng = rng
@@ -66,7 +66,7 @@
             rank: This VM's rank among those of its zone.
         """
         self._rank = rank
-        age_ms = self._knowledge.age_ms(now_ms)
+        age_ms = self._replica.age_ms(now_ms)
         if self._busy or not self._policy.due(now_ms, age_ms, rank):
             return
         self._busy = True
@@ -91,11 +91,11 @@
         changes = await self._source.read_all()
         self._needs_listing = False
         self._merge(changes)
-        self._knowledge.confirm(changes.revision, requested_ms)
+        self._replica.confirm(changes.revision, requested_ms)
 
     async def _watch(self) -> None:
         requested_ms = clock.now_ms()
-        before = self._knowledge.revision
+        before = self._replica.revision
         changes = await self._source.changes(before, watch_policy.WATCH_TIMEOUT_MS)
         if not changes.rows and changes.revision > before:
             # The store returned a later revision without the changes up to it. If
@@ -105,11 +105,11 @@
         self._merge(changes)
         # A watch that returns no rows has waited for its whole time-out.
         waited_ms = 0 if changes.rows else watch_policy.WATCH_TIMEOUT_MS
-        self._knowledge.confirm(changes.revision, requested_ms + waited_ms)
+        self._replica.confirm(changes.revision, requested_ms + waited_ms)
 
     def _merge(self, changes: source.Changes) -> None:
         now_ms = clock.now_ms()
-        merge = self._knowledge.merge(now_ms, changes)
+        merge = self._replica.merge(now_ms, changes)
         self._on_merge(now_ms, merge, _SOURCE_NAME)
 
     def _record_success(self, requested_ms: int) -> None:
@@ -119,7 +119,7 @@
                 "store_regained",
                 failures=self._policy.failures,
                 answer_ms=now_ms - requested_ms,
-                revision=self._knowledge.revision,
+                revision=self._replica.revision,
             )
         self._policy.record_success(now_ms, self._rank)
 
@@ -137,7 +137,7 @@
             kind=error.kind.value,
             detail=error.detail,
             failures=self._policy.failures,
-            revision=self._knowledge.revision,
-            age_ms=knowledge.reported_age_ms(self._knowledge.age_ms(now_ms)),
+            revision=self._replica.revision,
+            age_ms=store_replica.reported_age_ms(self._replica.age_ms(now_ms)),
             **fields,
         )
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -7,11 +7,11 @@
 from eelgrasswick.cookie import (
     catalog,
     codec,
-    knowledge,
     model,
     observations,
     source,
     steering,
+    store_replica,
 )
 from eelgrasswick.decisions import ejection
 from eelgrasswick.emulation import agenda, packets
@@ -153,7 +153,7 @@
         return row
 
     def _hear(self, vm: Vm, row: source.Row) -> None:
-        vm.known.update(self._due.now_ms, knowledge.Merge((row,), 0))
+        vm.known.update(self._due.now_ms, store_replica.Merge((row,), 0))
 
     def near(self, zone: str) -> list[int]:
         """Return the numbers of a zone's VMs."""
@@ -201,7 +201,7 @@
     def _add_vm(self, zone: str, vm: int) -> None:
         known = catalog.Catalog(self._reader)
         rows = (*self._reader.rows(), *self._rows.values())
-        known.update(0, knowledge.Merge(rows, 0))
+        known.update(0, store_replica.Merge(rows, 0))
         seen = observations.Observations(zone, known, vm=f"vm{vm}")
         for number, target in enumerate(known.targets):
             self._by_cookie[target.cookie] = number
--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -24,10 +24,10 @@
     bootstrap,
     carrying,
     clock,
-    knowledge,
     model,
     source,
     steering,
+    store_replica,
 )
 from eelgrasswick.platform import listing
 
@@ -115,9 +115,9 @@
         answer = bootstrap.fetch_rows(self._seeds, self._carrier.parts.log)
         if answer is None:
             return False
-        local_rows = self._carrier.parts.knowledge
+        replica = self._carrier.parts.replica
         now_ms = clock.now_ms()
-        merge = answer.offer.merge_into(now_ms, answer.requested_ms, local_rows)
+        merge = answer.offer.merge_into(now_ms, answer.requested_ms, replica)
         self._carrier.apply_rows(now_ms, merge, answer.host)
         self.members = answer.offer.sender_state.members
         self._carrier.parts.log.write(
@@ -125,12 +125,12 @@
             peer=answer.host,
             took_ms=now_ms - answer.requested_ms,
             members=len(self.members),
-            revision=local_rows.revision,
-            age_ms=knowledge.reported_age_ms(local_rows.age_ms(now_ms)),
+            revision=replica.revision,
+            age_ms=store_replica.reported_age_ms(replica.age_ms(now_ms)),
         )
         # Rows that are old because of an outage of the store are better than none, but
         # the store may be available again by now.
-        return local_rows.age_ms(now_ms) <= steering.MAX_CATALOG_AGE_MS
+        return replica.age_ms(now_ms) <= steering.MAX_CATALOG_AGE_MS
 
     def _read(self, idle_s: float, total_s: float) -> None:
         """Continue to read the listing, if it is not complete.
@@ -155,10 +155,10 @@
                 return
 
     def _merge(self, changes: source.Changes, asked_ms: int) -> None:
-        local_rows = self._carrier.parts.knowledge
+        replica = self._carrier.parts.replica
         now_ms = clock.now_ms()
-        self._carrier.apply_rows(now_ms, local_rows.merge(now_ms, changes), _ORIGIN)
-        local_rows.confirm(changes.revision, asked_ms)
+        self._carrier.apply_rows(now_ms, replica.merge(now_ms, changes), _ORIGIN)
+        replica.confirm(changes.revision, asked_ms)
 
     def _give_up(self, detail: str) -> None:
         self._carrier.parts.log.write("early_read_failed", detail=detail)
--- a/tests/cookie_parts.py
+++ b/tests/cookie_parts.py
@@ -5,7 +5,7 @@
 import struct
 import typing
 
-from eelgrasswick.cookie import catalog, knowledge, model, source
+from eelgrasswick.cookie import catalog, model, source, store_replica
 from eelgrasswick.platform import entries
 
 SERVICE_IP: typing.Final = socket.inet_aton("198.18.0.1")
@@ -75,7 +75,7 @@
 def catalog_from(*rows: source.Row, now_ms: int = 0) -> catalog.Catalog:
     """Return a catalog that was updated from some rows."""
     made = catalog.Catalog(entries.Reader())
-    made.update(now_ms, knowledge.Merge(rows, 0))
+    made.update(now_ms, store_replica.Merge(rows, 0))
     return made
 
 
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from eelgrasswick.cookie import catalog, knowledge, model, source
+from eelgrasswick.cookie import catalog, model, source, store_replica
 from eelgrasswick.platform import entries
 from tests import cookie_parts
 
@@ -23,7 +23,7 @@
 def _update(
     current: catalog.Catalog, now_ms: int, row: source.Row, previous_age_ms: int = 0
 ) -> list[catalog.LogEvent]:
-    return current.update(now_ms, knowledge.Merge((row,), previous_age_ms))
+    return current.update(now_ms, store_replica.Merge((row,), previous_age_ms))
 
 
 def test_draining_target_gets_no_new_flow(current: catalog.Catalog) -> None:
@@ -119,9 +119,9 @@
 def test_not_ready_without_targets() -> None:
     made = catalog.Catalog(entries.Reader())
     assert not made.ready
-    made.update(0, knowledge.Merge((cookie_parts.config_row(1),), 0))
+    made.update(0, store_replica.Merge((cookie_parts.config_row(1),), 0))
     assert not made.ready
-    made.update(0, knowledge.Merge((cookie_parts.target_row("i-0a", 2),), 0))
+    made.update(0, store_replica.Merge((cookie_parts.target_row("i-0a", 2),), 0))
     assert made.ready
 
 
@@ -176,7 +176,7 @@
         cookie_parts.target_row("i-0c", 9, born=9000, address="10.128.0.10:8080"),
         cookie_parts.config_row(1),
     )
-    made.update(0, knowledge.Merge(rows, 0))
+    made.update(0, store_replica.Merge(rows, 0))
     assert ended == ["i-0a"]
 
 
@@ -188,7 +188,7 @@
     The entries lapse, although the VM's rows are hardly older than in normal operation.
     """
     rows = (cookie_parts.gone_row("i-0a", 4), cookie_parts.gone_row("i-0b", 5))
-    current.update(3000, knowledge.Merge(rows, catalog.SHORT_OUTAGE_AGE_MS + 1))
+    current.update(3000, store_replica.Merge(rows, catalog.SHORT_OUTAGE_AGE_MS + 1))
     assert _names(current) == {"i-0a", "i-0b"}
     assert not current.settled
 
@@ -207,5 +207,5 @@
 ) -> None:
     """Guards against flows on two targets that operators removed at once."""
     rows = (cookie_parts.gone_row("i-0a", 4), cookie_parts.gone_row("i-0b", 5))
-    current.update(3000, knowledge.Merge(rows, 400))
+    current.update(3000, store_replica.Merge(rows, 400))
     assert _names(current) == set()
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -8,10 +8,10 @@
 from eelgrasswick.cookie import (
     catalog,
     cold_targets,
-    knowledge,
     observations,
     source,
     steering,
+    store_replica,
 )
 from eelgrasswick.decisions import cold_start
 from eelgrasswick.platform import segments
@@ -111,7 +111,7 @@
 
 
 def _update(known: catalog.Catalog, now_ms: int, *rows: source.Row) -> None:
-    known.update(now_ms, knowledge.Merge(rows, 0))
+    known.update(now_ms, store_replica.Merge(rows, 0))
 
 
 def _settle(known: catalog.Catalog) -> None:
@@ -152,8 +152,8 @@
     known: catalog.Catalog,
 ) -> None:
     """Guards against a service treated as new when its entries return."""
-    known.update(5000, knowledge.Merge((cookie_parts.gone_row("i-0a", 9),), 9000))
-    known.update(5200, knowledge.Merge((cookie_parts.target_row("i-0a", 10),), 100))
+    known.update(5000, store_replica.Merge((cookie_parts.gone_row("i-0a", 9),), 9000))
+    known.update(5200, store_replica.Merge((cookie_parts.target_row("i-0a", 10),), 100))
     assert not any(known.cold_ms(item, 5200) for item in known.targets)
 
 
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -164,7 +164,7 @@
     early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(pages.address)
     pages.end()
     assert forwarded_ports == [40_001, 40_002]
-    assert carrier.parts.knowledge.revision == 7
+    assert carrier.parts.replica.revision == 7
     assert "after=op%2Fconfig" in pages.requests[1]
 
 
@@ -260,7 +260,7 @@
     carrier = _carrier(log[1])
     early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(store.address)
     store.end()
-    assert carrier.parts.knowledge.revision == 7
+    assert carrier.parts.replica.revision == 7
     assert carrier.started
 
 
@@ -275,7 +275,7 @@
     carrier = _carrier(log[1])
     early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(store.address)
     store.end()
-    assert carrier.parts.knowledge.revision == 7
+    assert carrier.parts.replica.revision == 7
 
 
 def test_libraries_are_imported_while_the_store_answers(
@@ -310,9 +310,9 @@
     )
     forwarder.run(_unused())
     peer.end()
-    knowledge = carrier.parts.knowledge
-    assert knowledge.revision == 7
-    assert 300 <= knowledge.age_ms(clock.now_ms()) < 2000
+    replica = carrier.parts.replica
+    assert replica.revision == 7
+    assert 300 <= replica.age_ms(clock.now_ms()) < 2000
     assert forwarder.members == (peers.Member("10.0.0.8", "z1"),)
     assert carrier.started
     assert b"early_read_failed" not in os.read(log[0], 65536)
@@ -330,7 +330,7 @@
     )
     peer.end()
     assert carrier.started
-    assert 9000 <= carrier.parts.knowledge.age_ms(clock.now_ms()) < 9400
+    assert 9000 <= carrier.parts.replica.age_ms(clock.now_ms()) < 9400
     assert b"early_read_failed" in os.read(log[0], 65536)
 
 
@@ -389,7 +389,7 @@
     forwarder.run(pages.address)
     peer.end()
     pages.end()
-    assert carrier.parts.knowledge.revision == 7
+    assert carrier.parts.replica.revision == 7
     assert forwarder.members == ()
 
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -4,11 +4,11 @@
 
 from eelgrasswick.cookie import (
     catalog,
-    knowledge,
     model,
     observations,
     source,
     steering,
+    store_replica,
 )
 from eelgrasswick.platform import entries, segments
 from tests import cookie_parts, steering_parts
@@ -23,7 +23,7 @@
 def _update(
     known: catalog.Catalog, *rows: source.Row, gap_ms: int = 0
 ) -> list[catalog.LogEvent]:
-    return known.update(10, knowledge.Merge(rows, gap_ms))
+    return known.update(10, store_replica.Merge(rows, gap_ms))
 
 
 def _names(known: catalog.Catalog) -> set[str]:
@@ -176,23 +176,23 @@
     The store has compacted the history in which the row was deleted.
     """
     rows = (cookie_parts.config_row(1), cookie_parts.target_row("i-0a", 2))
-    known = knowledge.Knowledge()
+    replica = store_replica.StoreReplica()
     made = catalog.Catalog(entries.Reader())
-    made.update(0, known.merge(0, cookie_parts.listing(*rows, _order(3))))
+    made.update(0, replica.merge(0, cookie_parts.listing(*rows, _order(3))))
     assert _names(made) == set()
-    made.update(5000, known.merge(5000, source.Changes(rows, 8, 0)))
+    made.update(5000, replica.merge(5000, source.Changes(rows, 8, 0)))
     assert _names(made) == {"i-0a"}
 
 
 def test_order_received_from_another_vm_is_disseminated() -> None:
     """Guards against VMs without the store that receive only updates of targets."""
-    known = knowledge.Knowledge()
+    replica = store_replica.StoreReplica()
     rows = (cookie_parts.config_row(1), cookie_parts.target_row("i-0a", 2))
-    known.merge(0, cookie_parts.listing(*rows))
-    known.merge(10, source.Changes((_order(3),), 3, 2))
-    assert known.changes_since(2).rows == (_order(3),)
-    known.merge(20, source.Changes((_order(4, None),), 4, 3))
-    assert known.changes_since(3).rows == (_order(4, None),)
+    replica.merge(0, cookie_parts.listing(*rows))
+    replica.merge(10, source.Changes((_order(3),), 3, 2))
+    assert replica.changes_since(2).rows == (_order(3),)
+    replica.merge(20, source.Changes((_order(4, None),), 4, 3))
+    assert replica.changes_since(3).rows == (_order(4, None),)
 
 
 def test_target_that_starts_in_an_evacuated_zone_gets_no_flow(
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -10,10 +10,10 @@
 from eelgrasswick import errors
 from eelgrasswick.cookie import (
     exchange,
-    knowledge,
     peers,
     reports,
     source,
+    store_replica,
     watch_policy,
 )
 from eelgrasswick.decisions import ejection
@@ -29,11 +29,11 @@
         """Create a VM without peers."""
         rng = random.Random(seed)
         self.host = host
-        self.knowledge = knowledge.Knowledge()
+        self.replica = store_replica.StoreReplica()
         self.peers = peers.Peers(host, zone, rng)
         self.reports = reports.Reports()
         self.exchange = exchange.Exchange(
-            zone, self.knowledge, self.peers, self.reports, rng
+            zone, self.replica, self.peers, self.reports, rng
         )
 
 
@@ -67,9 +67,9 @@
         """Merge rows from the store at one VM, and push them to others."""
         vm = self.vms[host]
         last = max(row.revision for row in rows)
-        changes = source.Changes(rows, last, vm.knowledge.revision)
-        merge = vm.knowledge.merge(self.now_ms, changes)
-        vm.knowledge.confirm(last, self.now_ms)
+        changes = source.Changes(rows, last, vm.replica.revision)
+        merge = vm.replica.merge(self.now_ms, changes)
+        vm.replica.confirm(last, self.now_ms)
         self.deliver(vm, vm.exchange.update_messages(self.now_ms, merge))
 
     def deliver(self, sender: Vm, items: typing.Iterable[exchange.Outgoing]) -> None:
@@ -88,18 +88,18 @@
             self.deliver(vm, received.sends)
 
     def _fetch(self, vm: Vm, host: str) -> None:
-        changes = self.vms[host].knowledge.changes_since(vm.knowledge.revision)
+        changes = self.vms[host].replica.changes_since(vm.replica.revision)
         again = exchange.decode_changes(exchange.encode_changes(changes))
-        vm.knowledge.merge(self.now_ms, again)
+        vm.replica.merge(self.now_ms, again)
 
     def oldest_ms(self) -> int:
         """Return the age in ms of the oldest copy of the rows in the fleet."""
-        return max(vm.knowledge.age_ms(self.now_ms) for vm in self.vms.values())
+        return max(vm.replica.age_ms(self.now_ms) for vm in self.vms.values())
 
     def behind(self) -> int:
         """Return how many VMs lack a change that another one has."""
-        newest = max(vm.knowledge.revision for vm in self.vms.values())
-        return sum(vm.knowledge.revision < newest for vm in self.vms.values())
+        newest = max(vm.replica.revision for vm in self.vms.values())
+        return sum(vm.replica.revision < newest for vm in self.vms.values())
 
 
 def _row(key: str, revision: int, size: int = 10) -> source.Row:
@@ -152,7 +152,7 @@
     oldest_ms = []
     for _ in range(12):
         for vm in watchers:
-            vm.knowledge.confirm(1, fleet.now_ms)
+            vm.replica.confirm(1, fleet.now_ms)
         fleet.run(watch_policy.WATCH_TIMEOUT_MS + watch_policy.WATCH_GAP_MS)
         oldest_ms.append(fleet.oldest_ms())
     assert max(oldest_ms[2:]) < watch_policy.STALE_MS
@@ -163,11 +163,11 @@
     fleet.blocked.add("10.0.0.9")
     for _ in range(8):
         fleet.run(500)
-        fleet.vms["10.0.0.1"].knowledge.confirm(1, fleet.now_ms)
-    assert fleet.vms["10.0.0.9"].knowledge.age_ms(fleet.now_ms) >= 3500
+        fleet.vms["10.0.0.1"].replica.confirm(1, fleet.now_ms)
+    assert fleet.vms["10.0.0.9"].replica.age_ms(fleet.now_ms) >= 3500
     fleet.blocked.clear()
     fleet.run(1500)
-    assert fleet.vms["10.0.0.9"].knowledge.age_ms(fleet.now_ms) <= 2000
+    assert fleet.vms["10.0.0.9"].replica.age_ms(fleet.now_ms) <= 2000
 
 
 def test_late_response_does_not_confirm_the_age() -> None:
@@ -175,12 +175,12 @@
     fleet = Fleet(2, 1)
     first, second = fleet.vms.values()
     fleet.write(first.host, _row("a", 1))
-    second.knowledge.merge(0, first.knowledge.changes_since(0))
+    second.replica.merge(0, first.replica.changes_since(0))
     requests, _ = second.exchange.due_requests(0)
     answers = first.exchange.receive(0, second.host, requests[0].payload).sends
     second.exchange.due_requests(5000)
     second.exchange.receive(5000, first.host, answers[0].payload)
-    assert second.knowledge.age_ms(5000) > 4000
+    assert second.replica.age_ms(5000) > 4000
 
 
 def test_request_with_a_confirmation_in_the_future_is_answered() -> None:
@@ -188,7 +188,7 @@
     fleet = Fleet(2, 1)
     first, second = fleet.vms.values()
     fleet.write(first.host, _row("a", 1))
-    first.knowledge.confirm(1, fleet.now_ms + watch_policy.WATCH_TIMEOUT_MS)
+    first.replica.confirm(1, fleet.now_ms + watch_policy.WATCH_TIMEOUT_MS)
     requests, _ = first.exchange.due_requests(fleet.now_ms)
     assert second.exchange.receive(fleet.now_ms, first.host, requests[0].payload).sends
 
--- a/tests/test_offer.py
+++ b/tests/test_offer.py
@@ -5,21 +5,21 @@
 from hypothesis import strategies
 
 from eelgrasswick import errors
-from eelgrasswick.cookie import knowledge, offer, peers, source
+from eelgrasswick.cookie import offer, peers, source, store_replica
 
 ROW = source.Row("servers/i-0a", b"v", 5)
 SENDER_STATE = offer.SenderState(300, (peers.Member("10.0.0.8", "z1"),))
 
 
 @pytest.fixture
-def replica() -> knowledge.Knowledge:
-    made = knowledge.Knowledge()
-    made.merge(0, source.Changes((ROW,), 5, 0))
-    return made
+def replica() -> store_replica.StoreReplica:
+    replica = store_replica.StoreReplica()
+    replica.merge(0, source.Changes((ROW,), 5, 0))
+    return replica
 
 
 @pytest.fixture
-def offers(replica: knowledge.Knowledge) -> offer.OfferEncoder:
+def offers(replica: store_replica.StoreReplica) -> offer.OfferEncoder:
     return offer.OfferEncoder(replica.changes_since, lambda: SENDER_STATE)
 
 
@@ -30,14 +30,14 @@
 
 def test_age_counts_from_the_request(offers: offer.OfferEncoder) -> None:
     """Guards against a response that was queued for long and looks current."""
-    fresh = knowledge.Knowledge()
-    merge = offer.decode(*offers.encode(0)).merge_into(9000, 1000, fresh)
+    replica = store_replica.StoreReplica()
+    merge = offer.decode(*offers.encode(0)).merge_into(9000, 1000, replica)
     assert merge.rows == (ROW,)
-    assert fresh.age_ms(9000) == 8300
+    assert replica.age_ms(9000) == 8300
 
 
 def test_changed_rows_are_encoded_again(
-    replica: knowledge.Knowledge, offers: offer.OfferEncoder
+    replica: store_replica.StoreReplica, offers: offer.OfferEncoder
 ) -> None:
     """Guards against VMs that start with cached rows of an earlier revision."""
     offers.encode(0)
--- a/tests/test_placing_cost.py
+++ b/tests/test_placing_cost.py
@@ -7,12 +7,12 @@
 
 from eelgrasswick.cookie import (
     catalog,
-    knowledge,
     model,
     observations,
     placing,
     reports,
     source,
+    store_replica,
 )
 from eelgrasswick.emulation import cookie_scenario
 
@@ -46,7 +46,7 @@
     servers = (cookie_scenario.Server("z1", 2, 1.0),) * 60
     reader = cookie_scenario.Reader(servers)
     known = catalog.Catalog(reader)
-    known.update(0, knowledge.Merge(reader.rows(), 0))
+    known.update(0, store_replica.Merge(reader.rows(), 0))
     made = observations.Observations("z1", known)
     for number in range(60):
         report = tuple(_Counted(t.cookie, 1, 30, False) for t in known.targets)
@@ -78,7 +78,7 @@
     servers = [cookie_scenario.Server(f"z{n % 3 + 1}", 2, 1.0) for n in range(400)]
     reader = _WideReader(tuple(servers))
     known = catalog.Catalog(reader)
-    known.update(0, knowledge.Merge(reader.rows(), 0))
+    known.update(0, store_replica.Merge(reader.rows(), 0))
     accepting = known.accepting(cookie_scenario.SERVICE)
     looked_at: collections.Counter[int] = collections.Counter()
     for step in range(1000):
@@ -94,7 +94,7 @@
     """Guards against reports that list thousands of targets without flows."""
     reader = cookie_scenario.Reader(cookie_scenario.ORDINARY.servers)
     known = catalog.Catalog(reader)
-    known.update(0, knowledge.Merge(reader.rows(), 0))
+    known.update(0, store_replica.Merge(reader.rows(), 0))
     made = observations.Observations("z1", known)
     target = next(iter(known.targets))
     flow = model.FlowId(bytes(4), 1, cookie_scenario.SERVICE_IP, 443)
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -2,10 +2,10 @@
 
 from eelgrasswick.cookie import (
     catalog,
-    knowledge,
     observations,
     reports,
     steering,
+    store_replica,
 )
 from eelgrasswick.decisions import overload
 from eelgrasswick.platform import entries, segments
@@ -140,12 +140,12 @@
 ) -> None:
     target = steering_parts.opened(steers)
     row = cookie_parts.config_row(9, 2, [("198.18.0.1", 80, "desk")])
-    known.update(5, knowledge.Merge((row,), 0))
+    known.update(5, store_replica.Merge((row,), 0))
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=target.cookie, data=b"GET")
     decision = steering_parts.steer(steers, 6, raw)
     assert decision.target is None
     assert decision.outcome is steering.Outcome.NO_ROUTE_RESET
-    known.update(7, knowledge.Merge((cookie_parts.config_row(10, 3),), 0))
+    known.update(7, store_replica.Merge((cookie_parts.config_row(10, 3),), 0))
     assert steering_parts.steer(steers, 8, raw).target == target
 
 
@@ -154,7 +154,7 @@
 ) -> None:
     """Guards against callers that wait 1.4 s for a service without servers."""
     rows = [cookie_parts.gone_row(f"i-0{item}", 9) for item in "abc"]
-    known.update(5, knowledge.Merge(tuple(rows), 0))
+    known.update(5, store_replica.Merge(tuple(rows), 0))
     decision = steering_parts.steer(steers, 6, cookie_parts.packet(cookie_parts.SYN))
     assert decision.outcome is steering.Outcome.NO_TARGET
     assert decision.datagram is not None
@@ -167,7 +167,7 @@
     unanswered caller retransmits its opening packet, but a refused caller gives up.
     """
     known = catalog.Catalog(entries.Reader())
-    known.update(0, knowledge.Merge((cookie_parts.config_row(1),), 10**9))
+    known.update(0, store_replica.Merge((cookie_parts.config_row(1),), 10**9))
     steers = steering.Steering(
         "z1", segments.Codec(), known, observations.Observations("z1", known)
     )
--- a/tests/test_steering_silent.py
+++ b/tests/test_steering_silent.py
@@ -4,13 +4,13 @@
 
 from eelgrasswick.cookie import (
     catalog,
-    knowledge,
     liveness,
     model,
     observations,
     reports,
     silence,
     steering,
+    store_replica,
 )
 from tests import cookie_parts, steering_parts
 
@@ -78,7 +78,7 @@
     rows = [
         cookie_parts.target_row(f"i-1{digit}", 20, zone="z2") for digit in "0123456789"
     ]
-    known.update(0, knowledge.Merge(tuple(rows), 0))
+    known.update(0, store_replica.Merge(tuple(rows), 0))
     far = [item for item in known.accepting("desk") if item.zone == "z2"]
     seen.record_unanswered(0, far[0])
     seen.record_unanswered(0, far[1])
@@ -209,7 +209,7 @@
         born=9000,
         address=f"{first.address.host}:{first.address.port}",
     )
-    known.update(10, knowledge.Merge((row,), 0))
+    known.update(10, store_replica.Merge((row,), 0))
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
     assert steering_parts.steer(steers, 20, raw).outcome is steering.Outcome.TARGET_DEAD
 
@@ -221,7 +221,7 @@
     first = steering_parts.opened(steers)
     address = f"{first.address.host}:{first.address.port}"
     row = cookie_parts.target_row("i-0d", 9, born=9000, address=address)
-    known.update(10, knowledge.Merge((row,), 0))
+    known.update(10, store_replica.Merge((row,), 0))
     copy = cookie_parts.packet(cookie_parts.SYN, acknowledged=1)
     decision = steering_parts.steer(steers, 20, copy)
     assert decision.outcome is steering.Outcome.PLACED
@@ -244,7 +244,7 @@
         born=9000,
         address=f"{first.address.host}:{first.address.port}",
     )
-    known.update(10, knowledge.Merge((row,), 3000))
+    known.update(10, store_replica.Merge((row,), 3000))
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
     decision = steering_parts.steer(steers, 20, raw)
     assert decision.outcome is steering.Outcome.FORWARDED
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -8,7 +8,14 @@
 from twisted.internet import defer
 
 from eelgrasswick import errors
-from eelgrasswick.cookie import clock, event_log, knowledge, source, stats, store_watch
+from eelgrasswick.cookie import (
+    clock,
+    event_log,
+    source,
+    stats,
+    store_replica,
+    store_watch,
+)
 
 Answer = source.Changes | Exception
 ROW = source.Row("servers/i-0a", b"v", 5)
@@ -44,14 +51,16 @@
     def __init__(self, script: ScriptedStore, log: int) -> None:
         """Create a watch that calls a scripted store."""
         self.now_ms = 100_000
-        self.knowledge = knowledge.Knowledge()
-        self.merges: list[knowledge.Merge] = []
+        self.replica = store_replica.StoreReplica()
+        self.merges: list[store_replica.Merge] = []
         written = event_log.EventLog(log, "vm1", 100, stats.Stats())
         self.store_watch = store_watch.StoreWatch(
-            script, self.knowledge, self._record_merge, written, random.Random(1)
+            script, self.replica, self._record_merge, written, random.Random(1)
         )
 
-    def _record_merge(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
+    def _record_merge(
+        self, now_ms: int, merge: store_replica.Merge, origin: str
+    ) -> None:
         self.merges.append(merge)
 
     def step(self, after_ms: int = 5000) -> None:
@@ -87,7 +96,7 @@
     task.step()
     task.step()
     assert script.calls == ["list", "watch 5"]
-    assert task.knowledge.age_ms(task.now_ms) <= 0
+    assert task.replica.age_ms(task.now_ms) <= 0
 
 
 def test_listing_follows_a_watch_whose_history_is_gone(start: Start) -> None:
@@ -112,7 +121,7 @@
     for _ in range(3):
         task.step()
     assert script.calls == ["list", "watch 5", "list"]
-    assert task.knowledge.revision == 8
+    assert task.replica.revision == 8
 
 
 def test_failed_calls_confirm_nothing(start: Start) -> None:
@@ -123,11 +132,11 @@
     task.step()
     task.step()
     task.step()
-    assert task.knowledge.age_ms(task.now_ms) == 10_000
+    assert task.replica.age_ms(task.now_ms) == 10_000
     assert not task.store_watch.store_responds
     task.step()
     assert task.store_watch.store_responds
-    assert task.knowledge.age_ms(task.now_ms) <= 0
+    assert task.replica.age_ms(task.now_ms) <= 0
 
 
 def test_one_call_at_a_time(start: Start) -> None:
