--- a/eelgrasswick/cookie/liveness.py
+++ b/eelgrasswick/cookie/liveness.py
@@ -122,7 +122,7 @@
         holds_ms = DEAD_HOLD_MS if check.state is State.DEAD else RECHECK_INTERVAL_MS
         return now_ms - check.since_ms >= holds_ms
 
-    def keep(self, cookies: typing.Collection[int]) -> None:
+    def retain(self, cookies: typing.Collection[int]) -> None:
         """Delete the checks of all other targets."""
         for cookie in [item for item in self._checks if item not in cookies]:
             del self._checks[cookie]
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -324,13 +324,13 @@
         self.tracker.expire(now_ms)
         self.reports.tick(now_ms)
         cookies = {item.cookie for item in self._catalog.targets}
-        self.answer_times.keep(cookies)
-        self._silence.keep(cookies)
-        self._response_silence.keep(cookies)
-        self.liveness.keep(self._catalog.forwardable_cookies)
-        self.ejections.keep(now_ms, cookies)
-        self.cold.limits.keep(cookies)
-        self._keep_refusals(now_ms)
+        self.answer_times.retain(cookies)
+        self._silence.retain(cookies)
+        self._response_silence.retain(cookies)
+        self.liveness.retain(self._catalog.forwardable_cookies)
+        self.ejections.retain(now_ms, cookies)
+        self.cold.limits.retain(cookies)
+        self._remove_stale_records(now_ms)
         if now_ms - self._compared_ms >= SPEED_INTERVAL_MS:
             self._compared_ms = now_ms
             self._compare_speeds()
@@ -342,16 +342,18 @@
             means_ms = {item.cookie: self._mean_ms(item.cookie) for item in accepting}
             self._factors.update(speed.speed_factors(means_ms))
 
-    def _keep_refusals(self, now_ms: int) -> None:
+    def _remove_stale_records(self, now_ms: int) -> None:
         if now_ms - self._removed_ms < REMOVAL_INTERVAL_MS:
             return
         self._removed_ms = now_ms
         targets = self._catalog.targets
-        self.refusals.keep({overload.Pool(item.service, item.zone) for item in targets})
+        self.refusals.retain(
+            {overload.Pool(item.service, item.zone) for item in targets}
+        )
         config = self._catalog.config
         if config is not None:
-            self._sizes.keep({item.name for item in config.routes.values()})
-        self.response_times.keep({item.service for item in targets})
+            self._sizes.retain({item.name for item in config.routes.values()})
+        self.response_times.retain({item.service for item in targets})
 
     def report(self) -> reports.Report:
         """Return the report for the peers, silent and then fullest targets first."""
--- a/eelgrasswick/cookie/silence.py
+++ b/eelgrasswick/cookie/silence.py
@@ -88,7 +88,7 @@
         if state is not None and state.unanswered >= SILENT_AFTER_PACKETS:
             state.trial_ms = now_ms
 
-    def keep(self, keys: typing.Collection[Key]) -> None:
+    def retain(self, keys: typing.Collection[Key]) -> None:
         """Delete the records of all other keys."""
         for key in [item for item in self._states if item not in keys]:
             del self._states[key]
--- a/eelgrasswick/cookie/speed.py
+++ b/eelgrasswick/cookie/speed.py
@@ -58,7 +58,7 @@
             return None
         return max(1.0, previous.mean_ms)
 
-    def keep(self, cookies: typing.Collection[int]) -> None:
+    def retain(self, cookies: typing.Collection[int]) -> None:
         """Delete the records of all other targets."""
         for cookie in [item for item in self._answers if item not in cookies]:
             del self._answers[cookie]
--- a/eelgrasswick/decisions/cold_start.py
+++ b/eelgrasswick/decisions/cold_start.py
@@ -119,7 +119,7 @@
         while now_ms - times_ms[0] >= WINDOW_MS:
             times_ms.popleft()
 
-    def keep(self, cookies: typing.Collection[int]) -> None:
+    def retain(self, cookies: typing.Collection[int]) -> None:
         """Delete the records of all other targets."""
         for table in (self._ranks, self._opened_ms):
             for cookie in [item for item in table if item not in cookies]:
--- a/eelgrasswick/decisions/ejection.py
+++ b/eelgrasswick/decisions/ejection.py
@@ -135,7 +135,7 @@
             return cookies
         return [item for item in cookies if item not in ejected]
 
-    def keep(self, now_ms: int, cookies: typing.Collection[int]) -> None:
+    def retain(self, now_ms: int, cookies: typing.Collection[int]) -> None:
         """Delete records of targets that are gone or have no recent witness."""
         expired = [
             cookie
--- a/eelgrasswick/decisions/overload.py
+++ b/eelgrasswick/decisions/overload.py
@@ -121,7 +121,7 @@
         self._longest[route] = longest
         return answer_bytes < REFUSAL_LENGTH_SHARE * longest
 
-    def keep(self, routes: typing.Collection[str]) -> None:
+    def retain(self, routes: typing.Collection[str]) -> None:
         """Delete the records of all other routes."""
         for route in [item for item in self._longest if item not in routes]:
             del self._longest[route]
@@ -237,7 +237,7 @@
         part = state.refused * math.exp(-silent_ms / FADE_MS)
         return min(1.0, max(0.0, part - (rank.levels - 1 - rank.above)))
 
-    def keep(self, pools: typing.Collection[Pool]) -> None:
+    def retain(self, pools: typing.Collection[Pool]) -> None:
         """Delete the state of all other pools."""
         for pool in [item for item in self._states if item not in pools]:
             del self._states[pool]
--- a/eelgrasswick/decisions/response_time.py
+++ b/eelgrasswick/decisions/response_time.py
@@ -47,7 +47,7 @@
             return None
         return known.mean_ms + DEVIATIONS * known.deviation_ms
 
-    def keep(self, services: typing.Collection[str]) -> None:
+    def retain(self, services: typing.Collection[str]) -> None:
         """Delete the records of all other services."""
         for service in [item for item in self._estimates if item not in services]:
             del self._estimates[service]
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -130,10 +130,10 @@
     """Guards against a table that grows with every target there ever was."""
     for vm in range(ejection.MIN_WITNESSES):
         _add_witness(outliers, vm)
-    outliers.keep(START_MS, (COOKIE,))
+    outliers.retain(START_MS, (COOKIE,))
     assert outliers.ejected(START_MS, COOKIE)
-    outliers.keep(START_MS, ())
+    outliers.retain(START_MS, ())
     assert not outliers.ejected(START_MS, COOKIE)
     _add_witness(outliers, 1)
-    outliers.keep(START_MS + ejection.PROBATION_MS, (COOKIE,))
+    outliers.retain(START_MS + ejection.PROBATION_MS, (COOKIE,))
     assert _add_witness(outliers, 1, START_MS + ejection.PROBATION_MS)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -126,12 +126,12 @@
 ) -> None:
     """Guards against memory that grows with every route and service there ever was."""
     now_ms = _record_answers(shedder, 1.5, 60, calm_until_ms)
-    shedder.keep([])
+    shedder.retain([])
     assert shedder.refused_share(now_ms, POOL, FEED) == 0
     assert not shedder.limiting(POOL)
     sizes = overload.ResponseSizes()
     sizes.refused("r1", 2400)
-    sizes.keep(["r2"])
+    sizes.retain(["r2"])
     assert not sizes.refused("r1", 150)
 
 
--- a/tests/test_response_time.py
+++ b/tests/test_response_time.py
@@ -33,5 +33,5 @@
 def test_deleted_service_has_no_limit(times: response_time.ResponseTimes) -> None:
     """Guards against estimates that outlive their service."""
     times.answered("desk", 25)
-    times.keep(("vault",))
+    times.retain(("vault",))
     assert times.limit_ms("desk") is None
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -55,5 +55,5 @@
 ) -> None:
     detector.record_unanswered(0, 7)
     detector.record_unanswered(0, 7)
-    detector.keep([])
+    detector.retain([])
     assert not detector.silent(7)
--- a/tests/test_speed.py
+++ b/tests/test_speed.py
@@ -43,5 +43,5 @@
     times = speed.AnswerTimes()
     for _ in range(50):
         times.record(2, 20)
-    times.keep([1])
+    times.retain([1])
     assert times.mean_ms(2) is None
