--- a/eelgrasswick/cookie/catalog.py
+++ b/eelgrasswick/cookie/catalog.py
@@ -212,9 +212,9 @@
             del self._gone_ms[cookie]
             target = self._by_cookie.pop(cookie, None)
             self._seen_ms.pop(cookie, None)
-            self.ages.forget(cookie)
+            self.ages.remove(cookie)
             if target is not None:
-                self._owners.forget(target)
+                self._owners.remove(target)
         if lapsed:
             self._rebuild()
 
--- a/eelgrasswick/cookie/cold_targets.py
+++ b/eelgrasswick/cookie/cold_targets.py
@@ -69,8 +69,8 @@
         at_ms = self._suspected_ms.get(cookie)
         return None if at_ms is None else now_ms - at_ms
 
-    def forget(self, cookie: int) -> None:
-        """Forget a target."""
+    def remove(self, cookie: int) -> None:
+        """Delete the records of a target."""
         self._ages.pop(cookie, None)
         self._suspected_ms.pop(cookie, None)
 
--- a/eelgrasswick/cookie/exchange.py
+++ b/eelgrasswick/cookie/exchange.py
@@ -128,7 +128,7 @@
         hosts = self._peers.next_hosts()
         newly_dead = [host for host in hosts if self._peers.record_request(host)]
         for host in newly_dead:
-            self._reports.forget(host)
+            self._reports.remove(host)
         return [self._request(now_ms, host) for host in hosts], newly_dead
 
     def update_messages(
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -320,7 +320,7 @@
         return None
 
     def tick(self, now_ms: int) -> None:
-        """Update sums and speed factors, and forget removed targets and old flows."""
+        """Update sums and speed factors, and delete outdated records."""
         self.tracker.expire(now_ms)
         self.reports.tick(now_ms)
         cookies = {item.cookie for item in self._catalog.targets}
--- a/eelgrasswick/cookie/owners.py
+++ b/eelgrasswick/cookie/owners.py
@@ -58,7 +58,7 @@
         self._ended.update(item.cookie for item in new)
         return new
 
-    def forget(self, target: model.Target) -> None:
+    def remove(self, target: model.Target) -> None:
         """Delete the records of a target that can't have open flows any more."""
         self._ended.discard(target.cookie)
         owner = self._owners.get(target.address)
--- a/eelgrasswick/cookie/reports.py
+++ b/eelgrasswick/cookie/reports.py
@@ -66,7 +66,7 @@
 
     def record(self, now_ms: int, host: str, report: Report) -> None:
         """Replace the previous report of a VM by a new one."""
-        self.forget(host)
+        self.remove(host)
         self._reports[host] = (report, now_ms)
         for entry in report:
             self._flows[entry.cookie] += entry.flows
@@ -75,7 +75,7 @@
             if entry.silent:
                 self._silent_ms.setdefault(entry.cookie, {})[host] = now_ms
 
-    def forget(self, host: str) -> None:
+    def remove(self, host: str) -> None:
         """Remove the report of a dead VM, whose flows now pass through other VMs."""
         report, _ = self._reports.pop(host, ((), 0))
         for entry in report:
@@ -94,7 +94,7 @@
             if now_ms - at_ms > RETENTION_MS
         ]
         for host in old:
-            self.forget(host)
+            self.remove(host)
         held = len(self._reports)
         self._scale = max(1.0, self.others / held) if held >= MIN_SAMPLE_VMS else 1.0
 
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -265,7 +265,7 @@
         if target is None:
             return Decision(Outcome.UNKNOWN_COOKIE, None, None, None)
         if self._is_dead(now_ms, target):
-            self._observations.tracker.forget(segment.flow)
+            self._observations.tracker.remove(segment.flow)
             datagram = self._codec.reset(segment.flow, segment.acknowledged)
             return Decision(Outcome.TARGET_DEAD, datagram, None, target)
         measurement = self._observations.tracker.record_segment(now_ms, segment, cookie)
@@ -296,7 +296,7 @@
         """Forget the open flows of a dead target, and return a reset for each."""
         flows = self._observations.tracker.open_flows(target.cookie)
         for flow, _ in flows:
-            self._observations.tracker.forget(flow)
+            self._observations.tracker.remove(flow)
         return [
             (flow, self._codec.reset(flow, acknowledged))
             for flow, acknowledged in flows
--- a/eelgrasswick/cookie/tracker.py
+++ b/eelgrasswick/cookie/tracker.py
@@ -261,7 +261,7 @@
             if record.open and record.cookie == cookie
         ]
 
-    def forget(self, flow: model.FlowId) -> None:
+    def remove(self, flow: model.FlowId) -> None:
         """Delete the record of a flow that was reset."""
         if flow in self._records:
             self._drop(flow)
--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -107,7 +107,7 @@
         """Start to leave; the VM gives up its homes and forwards for a while."""
         if self._leaving_since_ms is None:
             self._leaving_since_ms = now_ms
-            self._become(member.MemberState.LEAVING)
+            self._set_state(member.MemberState.LEAVING)
 
     def tick(self, now_ms: int, ready: bool) -> None:
         """Send the pings that are due and process missing Acks.
@@ -126,7 +126,7 @@
             self._next_reconnect_ms = now_ms + RECONNECT_PERIOD_MS
             self._ping_candidates()
             for name in self._candidates.expired(now_ms):
-                self._forget(name)
+                self._remove(name)
 
     def receive_ping(
         self, now_ms: int, source: packet.Address, item: wire.Ping
@@ -272,7 +272,7 @@
 
     # State of this VM.
 
-    def _become(self, state: member.MemberState) -> None:
+    def _set_state(self, state: member.MemberState) -> None:
         self.me = self.me._replace(state=state, incarnation=self.me.incarnation + 1)
         self._gossip.add(self.me.name)
         self.changed = True
@@ -303,18 +303,18 @@
         )
         if self.me.serves:
             self._join_condition.restart(self._probes.last_number)
-            self._become(member.MemberState.JOINING)
+            self._set_state(member.MemberState.JOINING)
         return now_ms - last
 
     def _check_own_state(self, now_ms: int, ready: bool) -> None:
         state = self.me.state
         may_join = self._join_condition.may_join(now_ms, self._config_is_newest())
         if state is member.MemberState.JOINING and ready and may_join:
-            self._become(member.MemberState.ALIVE)
+            self._set_state(member.MemberState.ALIVE)
         if state is member.MemberState.LEAVING:
             assert self._leaving_since_ms is not None
             if now_ms - self._leaving_since_ms >= LEAVING_DURATION_MS:
-                self._become(member.MemberState.LEFT)
+                self._set_state(member.MemberState.LEFT)
                 self._ping_all()
 
     def _config_is_newest(self) -> bool:
@@ -350,7 +350,7 @@
         ):
             self._send_ping(self._probes.take_number(), address, found[address])
 
-    def _forget(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         address = peer.address_of(self.others.pop(name))
         if self._names_by_address.get(address) == name:
             del self._names_by_address[address]
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -250,7 +250,7 @@
             known = self._target(entry.target)
             if known is not None:
                 key = wire.flow_key(entry.flow)
-                self.tables.replicator.copies.learn(now_ms, key, known)
+                self.tables.replicator.copies.record(now_ms, key, known)
 
     def _handover(self, now_ms: int, item: wire.Handover) -> None:
         current = self.tables.epochs.current
@@ -270,7 +270,7 @@
                 continue
             record = self.tables.flows.get(key)
             if record is None or record.origin is flow.Origin.GUESSED:
-                self.home.learn(now_ms, key, flow_service, known)
+                self.home.record_target(now_ms, key, flow_service, known)
 
     def _target(self, name: str) -> target.Target | None:
         current = self.tables.epochs.current
--- a/eelgrasswick/homes/epoch.py
+++ b/eelgrasswick/homes/epoch.py
@@ -265,7 +265,7 @@
         )
 
     @property
-    def behind(self) -> bool:
+    def outdated(self) -> bool:
         """True when a peer has reported a newer configuration."""
         return (
             self.current is not None
--- a/eelgrasswick/homes/guess.py
+++ b/eelgrasswick/homes/guess.py
@@ -42,7 +42,7 @@
         # packet may be meant for that service, and no target of this service
         # may receive it.
         doubtful = flow_service.reused or (
-            flow_service.retired and self._tables.epochs.behind
+            flow_service.retired and self._tables.epochs.outdated
         )
         candidates = [] if doubtful else self._candidates(key, flow_service)
         if not candidates:
--- a/eelgrasswick/homes/hint.py
+++ b/eelgrasswick/homes/hint.py
@@ -52,7 +52,7 @@
             return None
         return hint.target
 
-    def learn(self, now_ms: int, flow: packet.FlowKey, chosen: target.Target) -> None:
+    def record(self, now_ms: int, flow: packet.FlowKey, chosen: target.Target) -> None:
         """Store or confirm the target of a flow."""
         known = flow in self._hints
         if not known and len(self._hints) >= self._capacity:
--- a/eelgrasswick/homes/home.py
+++ b/eelgrasswick/homes/home.py
@@ -249,10 +249,12 @@
             self._tables.outbox.count(_COUNT.PACKETS_UNKNOWN_FLOW)
 
     def _adopt(self, arrival: _Arrival, known: target.Target) -> None:
-        record = self.learn(arrival.now_ms, arrival.key, arrival.flow_service, known)
+        record = self.record_target(
+            arrival.now_ms, arrival.key, arrival.flow_service, known
+        )
         self._continue(arrival, record)
 
-    def learn(
+    def record_target(
         self,
         now_ms: int,
         key: packet.FlowKey,
@@ -281,7 +283,9 @@
             # wrongly guessed target.
             self._tables.outbox.count(_COUNT.RESETS_HELD_BACK)
             return
-        record = self.learn(arrival.now_ms, arrival.key, arrival.flow_service, sender)
+        record = self.record_target(
+            arrival.now_ms, arrival.key, arrival.flow_service, sender
+        )
         self._answer_known(arrival, record)
 
     def _answer_stray(
--- a/eelgrasswick/homes/rehome.py
+++ b/eelgrasswick/homes/rehome.py
@@ -68,7 +68,7 @@
         # and at the new home would occupy two slots of its target.
         self._tables.flows.remove(key)
         if _target_is_certain(record):
-            self._tables.hints.learn(now_ms, key, record.target)
+            self._tables.hints.record(now_ms, key, record.target)
 
     def _send(
         self,
--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -201,7 +201,7 @@
         key = item.answer_key()
         record = self._tables.flows.get(key)
         if record is None:
-            self._tables.hints.learn(now_ms, key, sender)
+            self._tables.hints.record(now_ms, key, sender)
         else:
             self._home.confirm_target(key, sender)
         self._tables.outbox.put(message.SendFabric(item.raw))
--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -240,7 +240,7 @@
     def build() -> object:
         table = hint.HintTable(10_000, SAMPLE)
         for number in range(SAMPLE):
-            table.learn(1000, packet_path.flow(number, chosen.endpoint), chosen)
+            table.record(1000, packet_path.flow(number, chosen.endpoint), chosen)
         return table
 
     return _memory(build) / SAMPLE
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -96,7 +96,7 @@
         """Return the age in ms of the oldest copy of the rows in the fleet."""
         return max(vm.replica.age_ms(self.now_ms) for vm in self.vms.values())
 
-    def behind(self) -> int:
+    def count_outdated(self) -> int:
         """Return how many VMs lack a change that another one has."""
         newest = max(vm.replica.revision for vm in self.vms.values())
         return sum(vm.replica.revision < newest for vm in self.vms.values())
@@ -123,15 +123,15 @@
 
 
 def test_value_too_large_for_a_datagram_reaches_all_vms(fleet: Fleet) -> None:
-    assert fleet.behind() == 0
+    assert fleet.count_outdated() == 0
 
 
 def test_change_reaches_all_vms(fleet: Fleet) -> None:
     """Guards against VMs that still forward flows after their route was dropped."""
     fleet.write("10.0.0.1", _row("servers/a", 2))
-    assert fleet.behind() <= 5
+    assert fleet.count_outdated() <= 5
     fleet.run(750)
-    assert fleet.behind() == 0
+    assert fleet.count_outdated() == 0
 
 
 def test_change_reaches_all_vms_over_lossy_links() -> None:
@@ -141,7 +141,7 @@
     fleet.run(1000)
     fleet.write("10.0.0.1", _row("servers/a", 2))
     fleet.run(1000)
-    assert fleet.behind() == 0
+    assert fleet.count_outdated() == 0
 
 
 def test_confirmations_of_watchers_keep_all_vms_below_the_stale_age(
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -20,7 +20,7 @@
     assert tables.epochs.current is not None
     config = tables.epochs.current.config
     key = flow_steps.flow_key(config.services["desk"], port)
-    tables.replicator.copies.learn(bench.world.now_ms, key, config.targets["d6"])
+    tables.replicator.copies.record(bench.world.now_ms, key, config.targets["d6"])
     bench.world.call("desk", caller=0, port=port)
     bench.world.run(5000)
     assert bench.world.ends() == {"whole": 1}
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -96,7 +96,7 @@
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
     registry.record_entry(former, 5)
     registry.record_entry(latter, 9)
-    registry.forget(former)
-    registry.forget(latter)
+    registry.remove(former)
+    registry.remove(latter)
     assert not registry.ended(former.cookie)
     assert registry.record_entry(former, 5) == []
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -139,7 +139,7 @@
     """Guards against counting a killed VM's flows twice, as other VMs have them now."""
     registry = reports.Reports()
     registry.record(0, "a", (reports.TargetReport(7, 3, 20, False),))
-    registry.forget("a")
+    registry.remove("a")
     registry.tick(10)
     assert registry.flows_on(7) == 0
     registry.record(0, "b", (reports.TargetReport(7, 3, 20, False),))
