--- a/eelgrasswick/_line.py
+++ b/eelgrasswick/_line.py
@@ -10,8 +10,8 @@
 MAX_DIGITS: typing.Final = 12
 
 
-class Word(typing.NamedTuple):
-    """One word and its column, counted from 1."""
+class Token(typing.NamedTuple):
+    """One word of a line and its column, counted from 1."""
 
     text: str
     column: int
@@ -30,12 +30,12 @@
 class Reader:
     """Consumes the words of one line in order and raises ``LineError`` for faults."""
 
-    def __init__(self, words: list[Word], end_column: int) -> None:
+    def __init__(self, words: list[Token], end_column: int) -> None:
         self._words = words
         self._end_column = end_column
-        self._options: dict[str, Word] = {}
+        self._options: dict[str, Token] = {}
 
-    def word(self, meaning: str) -> Word:
+    def word(self, meaning: str) -> Token:
         """Consume the next word, which must not be an option."""
         if not self._words or "=" in self._words[0].text:
             column = self._words[0].column if self._words else self._end_column
@@ -72,13 +72,13 @@
                 raise LineError(
                     word.column, f"{key}= is given twice", "remove one of them"
                 )
-            self._options[key] = Word(value, word.column + len(key) + 1)
+            self._options[key] = Token(value, word.column + len(key) + 1)
 
-    def option(self, key: str) -> Word | None:
+    def option(self, key: str) -> Token | None:
         """Return the value of an option, or None when it is absent."""
         return self._options.get(key)
 
-    def required(self, key: str) -> Word:
+    def required(self, key: str) -> Token:
         """Return the value of a mandatory option."""
         word = self._options.get(key)
         if word is None:
@@ -100,7 +100,7 @@
         return value
 
 
-def check_name(word: Word, meaning: str) -> None:
+def check_name(word: Token, meaning: str) -> None:
     """Raise ``LineError`` for a word that is not a valid name."""
     if not NAME_PATTERN.fullmatch(word.text):
         raise LineError(
--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -209,34 +209,34 @@
         if target is None:
             return {}
         pool = overload.Pool(target.service, target.zone)
-        refusals = self._observations.refusals
-        if not refusals.limiting(pool):
+        load_shedder = self._observations.load_shedder
+        if not load_shedder.limiting(pool):
             return {}
         # These are the figures by which refusals are decided. They are also logged for
         # flows that were admitted during the overload.
         return {
-            "of_objective": f"{refusals.ratio(pool):.2f}",
-            "refused_part": f"{refusals.refused_levels(pool):.2f}",
+            "of_objective": f"{load_shedder.ratio(pool):.2f}",
+            "refused_part": f"{load_shedder.refused_levels(pool):.2f}",
         }
 
     def log_overloads(self) -> None:
         """Log the overloads that have begun or ended since the last call."""
-        refusals = self._observations.refusals
-        while refusals.changed:
-            pool = refusals.changed.pop()
-            begun = refusals.limiting(pool)
+        load_shedder = self._observations.load_shedder
+        while load_shedder.changed:
+            pool = load_shedder.changed.pop()
+            begun = load_shedder.limiting(pool)
             self._log.write(
                 "overload_begun" if begun else "overload_over",
                 service=pool.service,
                 zone=pool.zone,
-                of_objective=f"{refusals.ratio(pool):.2f}",
+                of_objective=f"{load_shedder.ratio(pool):.2f}",
             )
 
     def log_ejections(self) -> None:
         """Log the targets that were ejected since the last call."""
-        fresh = self._observations.ejections.unlogged
-        while fresh:
-            item = fresh.pop()
+        unlogged = self._observations.ejections.unlogged
+        while unlogged:
+            item = unlogged.pop()
             self._stats.counts["targets_ejected"] += 1
             target = self._catalog.by_cookie(item.cookie)
             self._log.write(
--- a/eelgrasswick/cookie/catalog.py
+++ b/eelgrasswick/cookie/catalog.py
@@ -77,7 +77,7 @@
         self._services: frozenset[str] = frozenset()
         self._owners = owners.Owners()
         self._confirmed_ms = store_replica.NEVER_MS
-        self._settle_left_ms = 0
+        self._completion_left_ms = 0
         # A dict keeps insertion order, so that the oldest route is evicted first.
         self._dropped_routes: dict[tuple[bytes, int], None] = {}
         self._seen_ms: dict[int, int] = {}
@@ -88,9 +88,9 @@
         return self.config is not None and bool(self._by_name)
 
     @property
-    def settled(self) -> bool:
+    def entries_complete(self) -> bool:
         """False while entries may still be missing after an outage of the store."""
-        return self._settle_left_ms <= 0
+        return self._completion_left_ms <= 0
 
     @property
     def targets(self) -> typing.Collection[model.Target]:
@@ -125,9 +125,9 @@
         """Return the target of a cookie, including one that left recently."""
         return self._by_cookie.get(cookie)
 
-    def ended(self, cookie: int) -> bool:
+    def has_ended(self, cookie: int) -> bool:
         """Return True if the target of a cookie has certainly ended."""
-        return self._owners.ended(cookie)
+        return self._owners.has_ended(cookie)
 
     def accepting(self, service: str) -> list[model.Target]:
         """Return the targets of a service that may get new flows."""
@@ -162,10 +162,10 @@
         """
         outage = merge.previous_age_ms > OUTAGE_AGE_MS or self._lapsed_together(merge)
         if outage:
-            self._settle_left_ms = LAPSED_ENTRY_GRACE_MS
+            self._completion_left_ms = LAPSED_ENTRY_GRACE_MS
         # Entries that return after an outage mostly belong to targets that started
         # earlier, so their arrival does not show when the target started.
-        watched = bool(self._by_name) and self.settled
+        watched = bool(self._by_name) and self.entries_complete
         events = []
         ended: list[model.Target] = []
         # The configuration is applied first, because it determines the services
@@ -197,7 +197,7 @@
         self._confirmed_ms = confirmed_ms
         if elapsed_ms > MAX_CONFIRMATION_GAP_MS:
             elapsed_ms = 0
-        self._settle_left_ms = max(0, self._settle_left_ms - elapsed_ms)
+        self._completion_left_ms = max(0, self._completion_left_ms - elapsed_ms)
         lapsed = []
         for name, item in self._lapsed.items():
             self._lapsed[name] = item._replace(left_ms=item.left_ms - elapsed_ms)
@@ -351,7 +351,7 @@
             if target.cookie in owners:
                 continue
             owners[target.cookie] = target
-            if target.draining or self.ended(target.cookie):
+            if target.draining or self.has_ended(target.cookie):
                 continue
             evacuated = self.evacuations.covers(target)
             by_service = self._withheld if evacuated else self._by_service
--- a/eelgrasswick/cookie/event_log.py
+++ b/eelgrasswick/cookie/event_log.py
@@ -35,17 +35,17 @@
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
         self._vm = vm
-        self._bound = log_line.LineRateLimiter(lines_per_s)
+        self._rate_limiter = log_line.LineRateLimiter(lines_per_s)
         self._stats = counters
         self._now_ms = now_ms
         self._pending = bytearray()
 
     def write(self, event: str, **fields: object) -> None:
         """Append a line, unless its event has reached its limit for this second."""
-        for sort, count in self._bound.next_second(self._now_ms()):
+        for sort, count in self._rate_limiter.next_second(self._now_ms()):
             self._stats.counts["log_lines_left_out"] += count
             self._line("log_bounded", {"sort": sort, "left_out": count})
-        if self._bound.allows(event):
+        if self._rate_limiter.allows(event):
             self._line(event, fields)
 
     def flush(self) -> None:
--- a/eelgrasswick/cookie/gossip.py
+++ b/eelgrasswick/cookie/gossip.py
@@ -106,7 +106,7 @@
             report: This VM's report about targets.
             reads_store: False while the store does not respond to this VM.
         """
-        self._reports.others = len(self.peers)
+        self._reports.other_vms = len(self.peers)
         self._exchange.report = report
         self._exchange.reads_store = reads_store
         requests, newly_dead = self._exchange.due_requests(now_ms)
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -48,7 +48,7 @@
         answer_times: Response times by target.
         response_times: Response times by service.
         ejections: Outlier ejection of targets.
-        refusals: Load shedding of new flows.
+        load_shedder: Refuses new flows in an overload.
         levels: Priorities of the flows of each service.
         reports: What the peers report about targets.
         liveness: Checks of silent targets.
@@ -79,9 +79,9 @@
         self.answer_times = speed.AnswerTimes()
         self.response_times = response_time.ResponseTimes()
         self.ejections = ejection.OutlierEjection()
-        self.refusals = overload.LoadShedder(refuse)
+        self.load_shedder = overload.LoadShedder(refuse)
         self.levels = overload.PriorityLevels()
-        self._sizes = overload.ResponseSizes()
+        self._response_sizes = overload.ResponseSizes()
         self._stall_end_ms = 0
         self._paused_ms = 0
         self._removed_ms = 0
@@ -203,13 +203,13 @@
         answer_ms = measurement.answer_ms
         if answer_ms is None or not route.objective_ms:
             return
-        refused = self._sizes.refused(route.name, measurement.answer_bytes)
+        refused = self._response_sizes.refused(route.name, measurement.answer_bytes)
         if measurement.request_retransmitted or now_ms - answer_ms < self._stall_end_ms:
             return
         levels = self.levels.rank(target.service, route.priority).levels
         pool = overload.Pool(target.service, target.zone)
         ratio = answer_ms / route.objective_ms
-        self.refusals.answered(now_ms, pool, ratio, refused, levels)
+        self.load_shedder.answered(now_ms, pool, ratio, refused, levels)
 
     def record_stall(self, now_ms: int) -> None:
         """Record the end of a stall of this VM."""
@@ -347,12 +347,12 @@
             return
         self._removed_ms = now_ms
         targets = self._catalog.targets
-        self.refusals.retain(
+        self.load_shedder.retain(
             {overload.Pool(item.service, item.zone) for item in targets}
         )
         config = self._catalog.config
         if config is not None:
-            self._sizes.retain({item.name for item in config.routes.values()})
+            self._response_sizes.retain({item.name for item in config.routes.values()})
         self.response_times.retain({item.service for item in targets})
 
     def report(self) -> reports.Report:
--- a/eelgrasswick/cookie/owners.py
+++ b/eelgrasswick/cookie/owners.py
@@ -39,7 +39,7 @@
         self._owners: dict[model.Address, _Owner] = {}
         self._ended: set[int] = set()
 
-    def ended(self, cookie: int) -> bool:
+    def has_ended(self, cookie: int) -> bool:
         """Return True when another server has taken over a target's address."""
         return cookie in self._ended
 
--- a/eelgrasswick/cookie/reports.py
+++ b/eelgrasswick/cookie/reports.py
@@ -48,12 +48,12 @@
     """Registry of the latest report of each other VM.
 
     Attributes:
-        others: Number of other live VMs.
+        other_vms: Number of other live VMs.
     """
 
     def __init__(self) -> None:
         """Create an empty registry."""
-        self.others = 0
+        self.other_vms = 0
         self._scale = 1.0
         self._reports: dict[str, tuple[Report, int]] = {}
         # These sums are updated with each report, because summing hundreds of
@@ -96,7 +96,7 @@
         for host in old:
             self.remove(host)
         held = len(self._reports)
-        self._scale = max(1.0, self.others / held) if held >= MIN_SAMPLE_VMS else 1.0
+        self._scale = max(1.0, self.other_vms / held) if held >= MIN_SAMPLE_VMS else 1.0
 
     def __len__(self) -> int:
         """Return the number of VMs with a recent report."""
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -204,7 +204,7 @@
     def _without_target(
         self, flow: model.FlowId, withheld: tuple[Reason, ...]
     ) -> Decision:
-        if not self._catalog.settled:
+        if not self._catalog.entries_complete:
             # A reset would be final, whereas the caller's next retransmission may
             # find a target.
             return Decision(Outcome.NO_TARGET_YET, None, None, None)
@@ -221,7 +221,7 @@
     ) -> list[placing.Candidate]:
         # The load of a zone shows in its response times more than in its numbers of
         # flows. Response times are measured only by VMs of the same zone.
-        limiting = self._observations.refusals.limiting
+        limiting = self._observations.load_shedder.limiting
         return [
             item
             for item in candidates
@@ -238,10 +238,10 @@
         observed = self._observations
         observed.levels.opened(now_ms, target.service, route.priority)
         pool = overload.Pool(target.service, target.zone)
-        if not observed.refusals.limiting(pool):
+        if not observed.load_shedder.limiting(pool):
             return False
         rank = observed.levels.rank(target.service, route.priority)
-        return draws.refuse < observed.refusals.refused_share(now_ms, pool, rank)
+        return draws.refuse < observed.load_shedder.refused_share(now_ms, pool, rank)
 
     def _forwarded_to(
         self, outcome: Outcome, target: model.Target, raw: bytes
@@ -289,7 +289,7 @@
 
     def _is_dead(self, now_ms: int, target: model.Target) -> bool:
         cookie = target.cookie
-        ended = self._catalog.ended(cookie)
+        ended = self._catalog.has_ended(cookie)
         return ended or self._observations.liveness.dead(now_ms, cookie)
 
     def reset_flows(self, target: model.Target) -> list[tuple[model.FlowId, bytes]]:
--- a/eelgrasswick/homes/guess.py
+++ b/eelgrasswick/homes/guess.py
@@ -25,11 +25,11 @@
 _MAX_DEFAULTS: typing.Final = 2
 
 
-class Guesser:
+class TargetSearch:
     """Finds targets of flows of which no VM has a record."""
 
     def __init__(self, name: str, shared: tables.Tables) -> None:
-        """Create the guesser of the VM ``name``."""
+        """Create the search of the VM ``name``."""
         self._name = name
         self._tables = shared
 
--- a/eelgrasswick/homes/home.py
+++ b/eelgrasswick/homes/home.py
@@ -50,7 +50,7 @@
         self._tables = shared
         self._opener = opening
         self._inquiries = inquiry.Inquiries(shared.peers)
-        self._guesser = guess.Guesser(name, shared)
+        self._target_search = guess.TargetSearch(name, shared)
         self._delegated = inquiry.Delegations()
 
     def request(
@@ -69,7 +69,7 @@
             self._open_again(arrival, record)
         elif record.acknowledges_other_target(item):
             record.last_packet_ms = now_ms
-            self._guesser.convert_to_guess(item, key, flow_service, record)
+            self._target_search.convert_to_guess(item, key, flow_service, record)
         else:
             self._continue(arrival, record)
 
@@ -233,16 +233,18 @@
             elif item.protocol == packet.Protocol.UDP:
                 self._admit_datagram(arrival, settled.certain)
             else:
-                record = self._guesser.begin(now_ms, key, flow_service)
+                record = self._target_search.begin(now_ms, key, flow_service)
                 if record is not None:
                     self._continue(arrival, record)
 
     def _admit_datagram(self, arrival: _Arrival, certain: bool) -> None:
         now_ms, item, key, flow_service = arrival
-        if certain and self._guesser.all_owners_reachable(now_ms, key, flow_service):
+        if certain and self._target_search.all_owners_reachable(
+            now_ms, key, flow_service
+        ):
             self._opener.admit(now_ms, item, key, flow_service, True)
             return
-        chosen = self._guesser.former_home_target(now_ms, key, flow_service)
+        chosen = self._target_search.former_home_target(now_ms, key, flow_service)
         if chosen is not None:
             self._opener.admit(now_ms, item, key, flow_service, False, chosen)
         else:
@@ -316,7 +318,7 @@
     def _answer_reset(self, arrival: _Arrival, record: flow.Record) -> None:
         now_ms, item, key, flow_service = arrival
         if record.origin is flow.Origin.GUESSED:
-            if self._guesser.try_next_target(key, flow_service, record):
+            if self._target_search.try_next_target(key, flow_service, record):
                 self._tables.outbox.count(_COUNT.RESETS_HELD_BACK)
             else:
                 self._send_to_caller(item)
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -246,13 +246,13 @@
             return admission.Refusal(errors.ErrorKind.SERVICE_ENDED, _DAY_MS)
         flows = self._tables.flows
         caller = flow.Caller(flow_service.name, key.caller_ip)
-        demand = admission.LimitUsage(
+        usage = admission.LimitUsage(
             flow_service.limit,
             self._share(),
             flows.open_by_service[flow_service.name],
             flows.open_by_caller[caller],
         )
-        return admission.admit(demand, _hash_fraction(key))
+        return admission.admit(usage, _hash_fraction(key))
 
     def _share(self) -> float:
         current = self._tables.epochs.current
--- a/eelgrasswick/rule.py
+++ b/eelgrasswick/rule.py
@@ -262,7 +262,7 @@
         raise _line.LineError(1, "line is over 1000 bytes", "split or shorten it")
     body, mark, comment = line.partition("#")
     words = [
-        _line.Word(found.group(), found.start() + 1)
+        _line.Token(found.group(), found.start() + 1)
         for found in _line.WORD_PATTERN.finditer(body)
     ]
     if not words:
--- a/tests/steering_parts.py
+++ b/tests/steering_parts.py
@@ -10,7 +10,7 @@
 
 
 @pytest.fixture
-def known() -> catalog.Catalog:
+def target_catalog() -> catalog.Catalog:
     """Return three targets of a service, two of them in the VM's zone."""
     return cookie_parts.catalog_from(
         cookie_parts.config_row(1),
@@ -21,34 +21,34 @@
 
 
 @pytest.fixture
-def seen(known: catalog.Catalog) -> observations.Observations:
+def vm_observations(target_catalog: catalog.Catalog) -> observations.Observations:
     """Return the VM's observations of the targets."""
-    return observations.Observations("z1", known)
+    return observations.Observations("z1", target_catalog)
 
 
 @pytest.fixture
-def steers(
-    known: catalog.Catalog, seen: observations.Observations
+def vm_steering(
+    target_catalog: catalog.Catalog, vm_observations: observations.Observations
 ) -> steering.Steering:
     """Return the steering of a VM in the first zone."""
-    return steering.Steering("z1", segments.Codec(), known, seen)
+    return steering.Steering("z1", segments.Codec(), target_catalog, vm_observations)
 
 
 def steer(
-    steers: steering.Steering, now_ms: int, raw: bytes, age_ms: int = FRESH_MS
+    vm_steering: steering.Steering, now_ms: int, raw: bytes, age_ms: int = FRESH_MS
 ) -> steering.Decision:
     """Return the decision about a packet of a caller."""
-    return steers.steer(now_ms, age_ms, segments.Codec().decode(raw), raw)
+    return vm_steering.steer(now_ms, age_ms, segments.Codec().decode(raw), raw)
 
 
 def opened(
-    steers: steering.Steering,
+    vm_steering: steering.Steering,
     now_ms: int = 0,
     retransmissions: int = 0,
     port: int = 40_001,
 ) -> model.Target:
     """Send an opening packet; return the target that it was sent to."""
     raw = cookie_parts.packet(cookie_parts.SYN, port, acknowledged=retransmissions)
-    target = steer(steers, now_ms, raw).target
+    target = steer(vm_steering, now_ms, raw).target
     assert target is not None
     return target
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -135,7 +135,7 @@
     row = cookie_parts.target_row("i-0c", 9, born=9000, address="10.128.0.10:8080")
     _update(current, 10, row)
     assert ended == ["i-0a"]
-    assert current.ended(former.cookie)
+    assert current.has_ended(former.cookie)
     assert _names(current) == {"i-0b", "i-0c"}
 
 
@@ -160,9 +160,9 @@
     row = cookie_parts.target_row("i-0c", 9, born=9000, address="10.128.0.10:8080")
     _update(current, 10, row)
     _update(current, 10, cookie_parts.gone_row("i-0a", 10))
-    assert current.ended(former.cookie)
+    assert current.has_ended(former.cookie)
     current.tick(10 + catalog.FORMER_TARGET_RETENTION_MS, confirmed_ms=0)
-    assert not current.ended(former.cookie)
+    assert not current.has_ended(former.cookie)
     assert current.by_cookie(former.cookie) is None
 
 
@@ -190,7 +190,7 @@
     rows = (cookie_parts.gone_row("i-0a", 4), cookie_parts.gone_row("i-0b", 5))
     current.update(3000, store_replica.Merge(rows, catalog.SHORT_OUTAGE_AGE_MS + 1))
     assert _names(current) == {"i-0a", "i-0b"}
-    assert not current.settled
+    assert not current.entries_complete
 
 
 def test_entry_that_lapses_alone_after_a_short_outage_is_dropped(
@@ -199,7 +199,7 @@
     """Guards against flows on a crashed target when rows were 1.5 s old."""
     _update(current, 3000, cookie_parts.gone_row("i-0a", 4), previous_age_ms=1500)
     assert _names(current) == {"i-0b"}
-    assert current.settled
+    assert current.entries_complete
 
 
 def test_entries_that_are_deleted_together_without_outage_are_dropped(
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -100,7 +100,7 @@
 
 
 @pytest.fixture
-def known() -> catalog.Catalog:
+def target_catalog() -> catalog.Catalog:
     """Return three warm targets of a service that limits cold ones."""
     return cookie_parts.catalog_from(
         _config(1),
@@ -110,123 +110,137 @@
     )
 
 
-def _update(known: catalog.Catalog, now_ms: int, *rows: source.Row) -> None:
-    known.update(now_ms, store_replica.Merge(rows, 0))
+def _update(target_catalog: catalog.Catalog, now_ms: int, *rows: source.Row) -> None:
+    target_catalog.update(now_ms, store_replica.Merge(rows, 0))
 
 
-def _settle(known: catalog.Catalog) -> None:
+def _settle(target_catalog: catalog.Catalog) -> None:
     for now_ms in range(0, 5000, 500):
-        known.tick(now_ms, now_ms)
+        target_catalog.tick(now_ms, now_ms)
 
 
 def test_cold_target_gets_no_flow_while_others_are_warm(
-    steers: steering.Steering, known: catalog.Catalog
+    vm_steering: steering.Steering, target_catalog: catalog.Catalog
 ) -> None:
     """Guards against a server that is overloaded as soon as it has started."""
-    _settle(known)
-    _update(known, 100, cookie_parts.target_row("i-0d", 9, cold_remaining_ms=2000))
+    _settle(target_catalog)
+    _update(
+        target_catalog, 100, cookie_parts.target_row("i-0d", 9, cold_remaining_ms=2000)
+    )
     names = {
-        steering_parts.opened(steers, 200 + n, port=41_000 + n).name for n in range(60)
+        steering_parts.opened(vm_steering, 200 + n, port=41_000 + n).name
+        for n in range(60)
     }
     assert names >= {"i-0a", "i-0b"}
     assert "i-0d" not in names
     names = {
-        steering_parts.opened(steers, 2200, port=42_000 + n).name for n in range(60)
+        steering_parts.opened(vm_steering, 2200, port=42_000 + n).name
+        for n in range(60)
     }
     assert "i-0d" in names
 
 
 def test_new_target_is_cold_whatever_its_entry_says(
-    steers: steering.Steering, known: catalog.Catalog
+    vm_steering: steering.Steering, target_catalog: catalog.Catalog
 ) -> None:
     """Guards against a restarted server whose entry reports it as warm."""
-    _settle(known)
+    _settle(target_catalog)
     row = cookie_parts.target_row("i-0a", 9, born=5000, cold_remaining_ms=0)
-    _update(known, 100, row)
+    _update(target_catalog, 100, row)
     for number in range(30):
-        target = steering_parts.opened(steers, 200, port=41_000 + number)
+        target = steering_parts.opened(vm_steering, 200, port=41_000 + number)
         assert target.name != "i-0a"
 
 
 def test_entries_that_return_after_an_outage_are_warm(
-    known: catalog.Catalog,
+    target_catalog: catalog.Catalog,
 ) -> None:
     """Guards against a service treated as new when its entries return."""
-    known.update(5000, store_replica.Merge((cookie_parts.gone_row("i-0a", 9),), 9000))
-    known.update(5200, store_replica.Merge((cookie_parts.target_row("i-0a", 10),), 100))
-    assert not any(known.cold_ms(item, 5200) for item in known.targets)
+    target_catalog.update(
+        5000, store_replica.Merge((cookie_parts.gone_row("i-0a", 9),), 9000)
+    )
+    target_catalog.update(
+        5200, store_replica.Merge((cookie_parts.target_row("i-0a", 10),), 100)
+    )
+    assert not any(
+        target_catalog.cold_ms(item, 5200) for item in target_catalog.targets
+    )
 
 
 def test_flow_leaves_its_zone_while_the_zone_is_cold(
-    steers: steering.Steering, known: catalog.Catalog
+    vm_steering: steering.Steering, target_catalog: catalog.Catalog
 ) -> None:
     """Guards against a zone that returns cold and gets all its callers at once."""
-    _settle(known)
+    _settle(target_catalog)
     rows = [cookie_parts.target_row(f"i-0{n}", 9, born=5000) for n in "ab"]
-    _update(known, 100, *rows)
+    _update(target_catalog, 100, *rows)
     for number in range(30):
         raw = cookie_parts.packet(cookie_parts.SYN, 41_000 + number)
-        decision = steering_parts.steer(steers, 200, raw)
+        decision = steering_parts.steer(vm_steering, 200, raw)
         assert decision.target is not None
         assert decision.target.zone == "z2"
         assert decision.withheld == (steering.Reason.COLD,)
 
 
 def test_zone_is_cold_after_its_evacuation(
-    steers: steering.Steering, known: catalog.Catalog
+    vm_steering: steering.Steering, target_catalog: catalog.Catalog
 ) -> None:
     """Guards against servers that restarted while their zone was evacuated.
 
     Their entries may still be those of the former start.
     """
-    _settle(known)
-    _update(known, 100, source.Row("op/evacuate/z1", b"{}", 9))
-    _update(known, 9000, source.Row("op/evacuate/z1", None, 10))
-    assert steering_parts.opened(steers, 9100).zone == "z2"
-    assert steering_parts.opened(steers, 11_000, port=41_000).zone == "z1"
+    _settle(target_catalog)
+    _update(target_catalog, 100, source.Row("op/evacuate/z1", b"{}", 9))
+    _update(target_catalog, 9000, source.Row("op/evacuate/z1", None, 10))
+    assert steering_parts.opened(vm_steering, 9100).zone == "z2"
+    assert steering_parts.opened(vm_steering, 11_000, port=41_000).zone == "z1"
 
 
 def test_target_that_was_dead_and_answers_is_cold(
-    known: catalog.Catalog, seen: observations.Observations
+    target_catalog: catalog.Catalog, vm_observations: observations.Observations
 ) -> None:
     """Guards against a restarted server whose new entry has not arrived yet."""
-    _settle(known)
-    target = next(item for item in known.targets if item.name == "i-0a")
-    seen.record_zone_answer(100, "z1")
-    assert seen.begin_check(100, target)
-    assert seen.liveness.record_probe(
+    _settle(target_catalog)
+    target = next(item for item in target_catalog.targets if item.name == "i-0a")
+    vm_observations.record_zone_answer(100, "z1")
+    assert vm_observations.begin_check(100, target)
+    assert vm_observations.liveness.record_probe(
         200, target.cookie, accepted=False, zone_answered_ms=150
     )
-    seen.record_answer(3000, target)
-    assert known.cold_ms(target, 3000) == 2000
+    vm_observations.record_answer(3000, target)
+    assert target_catalog.cold_ms(target, 3000) == 2000
 
 
 def test_target_that_was_silent_and_answers_is_treated_as_cold(
-    steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
+    vm_steering: steering.Steering,
+    target_catalog: catalog.Catalog,
+    vm_observations: observations.Observations,
 ) -> None:
     """Guards against a server that crashed and restarted before a probe failed."""
-    _settle(known)
-    target = next(item for item in known.targets if item.name == "i-0a")
-    seen.record_unanswered(100, target)
-    seen.record_unanswered(300, target)
-    steering_parts.opened(steers, 400)
-    seen.record_answer(1000, target)
+    _settle(target_catalog)
+    target = next(item for item in target_catalog.targets if item.name == "i-0a")
+    vm_observations.record_unanswered(100, target)
+    vm_observations.record_unanswered(300, target)
+    steering_parts.opened(vm_steering, 400)
+    vm_observations.record_answer(1000, target)
     for number in range(30):
-        assert steering_parts.opened(steers, 1100, port=41_000 + number) != target
+        assert steering_parts.opened(vm_steering, 1100, port=41_000 + number) != target
 
 
 def test_no_flow_is_refused_after_a_vms_own_link_failed(
-    steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
+    vm_steering: steering.Steering,
+    target_catalog: catalog.Catalog,
+    vm_observations: observations.Observations,
 ) -> None:
     """Guards against a VM that treats all targets as new after its link was cut."""
-    _settle(known)
-    for target in known.targets:
-        seen.record_unanswered(100, target)
-        seen.record_unanswered(300, target)
-    steering_parts.opened(steers, 400)
-    for target in known.targets:
-        seen.record_answer(1000, target)
-    assert steering_parts.opened(steers, 1100, port=41_000)
+    _settle(target_catalog)
+    for target in target_catalog.targets:
+        vm_observations.record_unanswered(100, target)
+        vm_observations.record_unanswered(300, target)
+    steering_parts.opened(vm_steering, 400)
+    for target in target_catalog.targets:
+        vm_observations.record_answer(1000, target)
+    assert steering_parts.opened(vm_steering, 1100, port=41_000)
 
 
 def test_vm_whose_clock_is_behind_treats_targets_as_warm() -> None:
@@ -250,17 +264,19 @@
 
 
 def test_flows_beyond_what_cold_targets_take_are_refused_at_once(
-    steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
+    vm_steering: steering.Steering,
+    target_catalog: catalog.Catalog,
+    vm_observations: observations.Observations,
 ) -> None:
     """Guards against callers that wait for cold targets at their limit."""
-    _settle(known)
-    seen.cold.limits.update_fleet(0, (), 0)
+    _settle(target_catalog)
+    vm_observations.cold.limits.update_fleet(0, (), 0)
     rows = [cookie_parts.target_row(f"i-0{n}", 9, born=5000) for n in "abc"]
-    _update(known, SETTLED_MS, *rows)
+    _update(target_catalog, SETTLED_MS, *rows)
     outcomes = []
     for number in range(60):
         raw = cookie_parts.packet(cookie_parts.SYN, 41_000 + number)
-        decision = steering_parts.steer(steers, SETTLED_MS + 10 * number, raw)
+        decision = steering_parts.steer(vm_steering, SETTLED_MS + 10 * number, raw)
         outcomes.append(decision.outcome)
         if decision.target is None:
             # No target received the flow, and the caller gets a reset at once.
@@ -270,14 +286,20 @@
     assert outcomes.count(steering.Outcome.COLD) == 54
 
 
-def test_service_without_a_limit_fills_cold_targets(known: catalog.Catalog) -> None:
+def test_service_without_a_limit_fills_cold_targets(
+    target_catalog: catalog.Catalog,
+) -> None:
     """Guards against refusals for a service whose operators set no limit."""
-    _update(known, 0, cookie_parts.config_row(8))
-    seen = observations.Observations("z1", known)
-    steers = steering.Steering("z1", segments.Codec(), known, seen)
+    _update(target_catalog, 0, cookie_parts.config_row(8))
+    vm_observations = observations.Observations("z1", target_catalog)
+    vm_steering = steering.Steering(
+        "z1", segments.Codec(), target_catalog, vm_observations
+    )
     rows = [
         cookie_parts.target_row(f"i-0{n}", 9, cold_remaining_ms=2000) for n in "abc"
     ]
-    _update(known, 100, *rows)
+    _update(target_catalog, 100, *rows)
     for number in range(30):
-        assert steering_parts.opened(steers, 200, port=41_000 + number).zone == "z1"
+        assert (
+            steering_parts.opened(vm_steering, 200, port=41_000 + number).zone == "z1"
+        )
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -29,8 +29,8 @@
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
     assert registry.record_entry(former, 5) == []
     assert registry.record_entry(latter, 9) == [former]
-    assert registry.ended(former.cookie)
-    assert not registry.ended(latter.cookie)
+    assert registry.has_ended(former.cookie)
+    assert not registry.has_ended(latter.cookie)
 
 
 def test_order_in_which_entries_are_read_does_not_matter(
@@ -40,7 +40,7 @@
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
     assert registry.record_entry(latter, 9) == []
     assert registry.record_entry(former, 5) == [former]
-    assert not registry.ended(latter.cookie)
+    assert not registry.has_ended(latter.cookie)
 
 
 def test_restarted_server_ends_no_target(registry: owners.Owners) -> None:
@@ -52,7 +52,7 @@
     former, latter = _target("i-0a", 1000), _target("i-0a", 9000)
     registry.record_entry(former, 5)
     assert registry.record_entry(latter, 9) == []
-    assert not registry.ended(former.cookie)
+    assert not registry.has_ended(former.cookie)
 
 
 def test_entry_that_was_written_late_ends_no_target(
@@ -66,7 +66,7 @@
     former, latter = _target("i-0a", 1000), _target("i-0b", 9000)
     registry.record_entry(latter, 9)
     assert registry.record_entry(former, 11) == []
-    assert not registry.ended(latter.cookie)
+    assert not registry.has_ended(latter.cookie)
 
 
 def test_wrong_clock_of_a_server_ends_no_target(registry: owners.Owners) -> None:
@@ -74,7 +74,7 @@
     former, latter = _target("i-0a", 9000), _target("i-0b", 4000)
     registry.record_entry(former, 5)
     assert registry.record_entry(latter, 9) == []
-    assert not registry.ended(former.cookie)
+    assert not registry.has_ended(former.cookie)
 
 
 def test_changed_entry_ends_no_target(registry: owners.Owners) -> None:
@@ -98,5 +98,5 @@
     registry.record_entry(latter, 9)
     registry.remove(former)
     registry.remove(latter)
-    assert not registry.ended(former.cookie)
+    assert not registry.has_ended(former.cookie)
     assert registry.record_entry(former, 5) == []
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -109,7 +109,7 @@
     registry = reports.Reports()
     for number in range(20):
         registry.record(0, f"vm{number}", (reports.TargetReport(7, 3, 20, False),))
-    registry.others = 60
+    registry.other_vms = 60
     registry.tick(10)
     assert registry.flows_on(7) == 180
     assert len(registry) == 20
@@ -119,7 +119,7 @@
     """Guards against a starting VM that multiplies one report by hundreds of VMs."""
     registry = reports.Reports()
     registry.record(0, "vm1", (reports.TargetReport(7, 3, 20, False),))
-    registry.others = 200
+    registry.other_vms = 200
     registry.tick(10)
     assert registry.flows_on(7) == 3
 
--- a/tests/test_placing_cost.py
+++ b/tests/test_placing_cost.py
@@ -41,22 +41,22 @@
 
 
 @pytest.fixture
-def seen() -> observations.Observations:
+def vm_observations() -> observations.Observations:
     """Return the observations of a VM with the reports of sixty peers."""
     servers = (cookie_scenario.Server("z1", 2, 1.0),) * 60
     reader = cookie_scenario.Reader(servers)
-    known = catalog.Catalog(reader)
-    known.update(0, store_replica.Merge(reader.rows(), 0))
-    made = observations.Observations("z1", known)
+    target_catalog = catalog.Catalog(reader)
+    target_catalog.update(0, store_replica.Merge(reader.rows(), 0))
+    vm_observations = observations.Observations("z1", target_catalog)
     for number in range(60):
-        report = tuple(_Counted(t.cookie, 1, 30, False) for t in known.targets)
-        made.reports.record(0, f"vm{number}", report)
-    made.tick(0)
-    return made
+        report = tuple(_Counted(t.cookie, 1, 30, False) for t in target_catalog.targets)
+        vm_observations.reports.record(0, f"vm{number}", report)
+    vm_observations.tick(0)
+    return vm_observations
 
 
 def test_new_flow_does_not_search_all_reports(
-    seen: observations.Observations,
+    vm_observations: observations.Observations,
 ) -> None:
     """Guards against a burst of new flows that blocks a VM of a large fleet.
 
@@ -66,7 +66,7 @@
     """
     before = _Counted.reads
     for _ in range(10):
-        seen.candidates(100, cookie_scenario.SERVICE, 0, 0.5, True)
+        vm_observations.candidates(100, cookie_scenario.SERVICE, 0, 0.5, True)
     assert _Counted.reads == before
 
 
@@ -77,9 +77,9 @@
     """
     servers = [cookie_scenario.Server(f"z{n % 3 + 1}", 2, 1.0) for n in range(400)]
     reader = _WideReader(tuple(servers))
-    known = catalog.Catalog(reader)
-    known.update(0, store_replica.Merge(reader.rows(), 0))
-    accepting = known.accepting(cookie_scenario.SERVICE)
+    target_catalog = catalog.Catalog(reader)
+    target_catalog.update(0, store_replica.Merge(reader.rows(), 0))
+    accepting = target_catalog.accepting(cookie_scenario.SERVICE)
     looked_at: collections.Counter[int] = collections.Counter()
     for step in range(1000):
         found = placing.sample_targets(accepting, "z1", step / 1000)
@@ -93,10 +93,10 @@
 def test_report_lists_targets_with_flows_only() -> None:
     """Guards against reports that list thousands of targets without flows."""
     reader = cookie_scenario.Reader(cookie_scenario.ORDINARY.servers)
-    known = catalog.Catalog(reader)
-    known.update(0, store_replica.Merge(reader.rows(), 0))
-    made = observations.Observations("z1", known)
-    target = next(iter(known.targets))
+    target_catalog = catalog.Catalog(reader)
+    target_catalog.update(0, store_replica.Merge(reader.rows(), 0))
+    vm_observations = observations.Observations("z1", target_catalog)
+    target = next(iter(target_catalog.targets))
     flow = model.FlowId(bytes(4), 1, cookie_scenario.SERVICE_IP, 443)
-    made.tracker.record_placement(0, flow, target.cookie, 0)
-    assert [entry.cookie for entry in made.report()] == [target.cookie]
+    vm_observations.tracker.record_placement(0, flow, target.cookie, 0)
+    assert [entry.cookie for entry in vm_observations.report()] == [target.cookie]
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -12,8 +12,10 @@
 from tests import cookie_parts, steering_parts
 
 
-def test_opening_packet_carries_the_cookie(steers: steering.Steering) -> None:
-    decision = steering_parts.steer(steers, 0, cookie_parts.packet(cookie_parts.SYN))
+def test_opening_packet_carries_the_cookie(vm_steering: steering.Steering) -> None:
+    decision = steering_parts.steer(
+        vm_steering, 0, cookie_parts.packet(cookie_parts.SYN)
+    )
     assert decision.outcome is steering.Outcome.PLACED
     assert decision.target is not None
     assert decision.datagram is not None
@@ -23,12 +25,15 @@
 
 
 def test_any_vm_forwards_by_the_cookie(
-    steers: steering.Steering, known: catalog.Catalog
+    vm_steering: steering.Steering, target_catalog: catalog.Catalog
 ) -> None:
     """Guards against flows lost when the fabric's hash moves them to another VM."""
-    target = steering_parts.opened(steers)
+    target = steering_parts.opened(vm_steering)
     other = steering.Steering(
-        "z2", segments.Codec(), known, observations.Observations("z2", known)
+        "z2",
+        segments.Codec(),
+        target_catalog,
+        observations.Observations("z2", target_catalog),
     )
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=target.cookie, data=b"GET")
     decision = steering_parts.steer(other, 5, raw)
@@ -36,22 +41,24 @@
     assert decision.datagram == target.token + raw
 
 
-def test_flow_stays_on_the_target_that_opened_it(steers: steering.Steering) -> None:
+def test_flow_stays_on_the_target_that_opened_it(
+    vm_steering: steering.Steering,
+) -> None:
     """Guards against a reset by a second server that answered the opening packet.
 
     The caller uses the cookie that it received last, whose server may not have the
     flow.
     """
-    first = steering_parts.opened(steers)
+    first = steering_parts.opened(vm_steering)
     ack = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie)
-    steering_parts.steer(steers, 210, ack)
-    second = steering_parts.opened(steers, 211, port=40_002)
+    steering_parts.steer(vm_steering, 210, ack)
+    second = steering_parts.opened(vm_steering, 211, port=40_002)
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=second.cookie, data=b"GET")
-    assert steering_parts.steer(steers, 220, raw).target == first
+    assert steering_parts.steer(vm_steering, 220, raw).target == first
 
 
 def test_duplicated_opening_packet_goes_to_one_target(
-    steers: steering.Steering, seen: observations.Observations
+    vm_steering: steering.Steering, vm_observations: observations.Observations
 ) -> None:
     """Guards against a flow at two targets when the network duplicates a packet.
 
@@ -59,70 +66,74 @@
     target without the flow once another VM forwards them.
     """
     for number in range(20):
-        first = steering_parts.opened(steers, port=44_000 + number)
-        assert steering_parts.opened(steers, 1, port=44_000 + number) == first
+        first = steering_parts.opened(vm_steering, port=44_000 + number)
+        assert steering_parts.opened(vm_steering, 1, port=44_000 + number) == first
         again = steering_parts.opened(
-            steers, 200, retransmissions=1, port=44_000 + number
+            vm_steering, 200, retransmissions=1, port=44_000 + number
         )
         assert again != first
         assert (
-            steering_parts.opened(steers, 201, retransmissions=1, port=44_000 + number)
+            steering_parts.opened(
+                vm_steering, 201, retransmissions=1, port=44_000 + number
+            )
             == again
         )
-        seen.record_answer(202, first)
+        vm_observations.record_answer(202, first)
 
 
 def test_queued_retransmissions_go_to_one_target(
-    steers: steering.Steering,
+    vm_steering: steering.Steering,
 ) -> None:
     """Guards against a flow at three targets after a stall of the VM.
 
     The VM reads the opening packet and both retransmissions at once, which is no sign
     that the target is silent.
     """
-    first = steering_parts.opened(steers, 5000)
-    assert steering_parts.opened(steers, 5001, retransmissions=1) == first
-    assert steering_parts.opened(steers, 5002, retransmissions=2) == first
+    first = steering_parts.opened(vm_steering, 5000)
+    assert steering_parts.opened(vm_steering, 5001, retransmissions=1) == first
+    assert steering_parts.opened(vm_steering, 5002, retransmissions=2) == first
 
 
-def test_wrong_cookie_of_an_open_flow_is_corrected(steers: steering.Steering) -> None:
+def test_wrong_cookie_of_an_open_flow_is_corrected(
+    vm_steering: steering.Steering,
+) -> None:
     """Guards against a wrong cookie that stays with the caller.
 
     Two servers answered the same opening packet, and the caller uses the wrong
     cookie. This VM has a record of the flow, but the next VM that carries it has none.
     The server returns the cookie that it receives, so the caller gets the right one.
     """
-    first = steering_parts.opened(steers)
+    first = steering_parts.opened(vm_steering)
     steering_parts.steer(
-        steers, 2, cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie)
+        vm_steering, 2, cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie)
     )
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie ^ 1, data=b"GET")
-    decision = steering_parts.steer(steers, 220, raw)
+    decision = steering_parts.steer(vm_steering, 220, raw)
     assert decision.target == first
     assert decision.datagram is not None
     assert cookie_parts.cookie_of(decision.datagram) == first.cookie
 
 
-def test_unknown_route_is_reset(steers: steering.Steering) -> None:
+def test_unknown_route_is_reset(vm_steering: steering.Steering) -> None:
     raw = cookie_parts.packet(cookie_parts.SYN, port=9)
-    decision = steering_parts.steer(steers, 0, raw)
+    decision = steering_parts.steer(vm_steering, 0, raw)
     assert decision.outcome is steering.Outcome.NO_ROUTE_RESET
     assert decision.address is None
 
 
 def test_unknown_route_is_not_reset_by_an_old_catalog(
-    steers: steering.Steering,
+    vm_steering: steering.Steering,
 ) -> None:
     """Guards against resets for a route that was added while the store was away."""
     raw = cookie_parts.packet(cookie_parts.SYN, port=9)
     decision = steering_parts.steer(
-        steers, 0, raw, age_ms=steering.MAX_CATALOG_AGE_MS + 1
+        vm_steering, 0, raw, age_ms=steering.MAX_CATALOG_AGE_MS + 1
     )
     assert decision.datagram is None
 
 
 def test_open_flow_on_a_route_not_received_yet_is_not_reset(
-    steers: steering.Steering,
+    vm_steering: steering.Steering,
 ) -> None:
     """Guards against resets of flows on a route that this VM has not received yet.
 
@@ -130,32 +141,34 @@
     moved the flow here.
     """
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=5, data=b"GET", port=9)
-    decision = steering_parts.steer(steers, 0, raw)
+    decision = steering_parts.steer(vm_steering, 0, raw)
     assert decision.outcome is steering.Outcome.NO_ROUTE
     assert decision.datagram is None
 
 
 def test_packet_on_a_removed_route_is_not_forwarded(
-    steers: steering.Steering, known: catalog.Catalog
+    vm_steering: steering.Steering, target_catalog: catalog.Catalog
 ) -> None:
-    target = steering_parts.opened(steers)
+    target = steering_parts.opened(vm_steering)
     row = cookie_parts.config_row(9, 2, [("198.18.0.1", 80, "desk")])
-    known.update(5, store_replica.Merge((row,), 0))
+    target_catalog.update(5, store_replica.Merge((row,), 0))
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=target.cookie, data=b"GET")
-    decision = steering_parts.steer(steers, 6, raw)
+    decision = steering_parts.steer(vm_steering, 6, raw)
     assert decision.target is None
     assert decision.outcome is steering.Outcome.NO_ROUTE_RESET
-    known.update(7, store_replica.Merge((cookie_parts.config_row(10, 3),), 0))
-    assert steering_parts.steer(steers, 8, raw).target == target
+    target_catalog.update(7, store_replica.Merge((cookie_parts.config_row(10, 3),), 0))
+    assert steering_parts.steer(vm_steering, 8, raw).target == target
 
 
 def test_service_without_targets_is_refused_at_once(
-    steers: steering.Steering, known: catalog.Catalog
+    vm_steering: steering.Steering, target_catalog: catalog.Catalog
 ) -> None:
     """Guards against callers that wait 1.4 s for a service without servers."""
     rows = [cookie_parts.gone_row(f"i-0{item}", 9) for item in "abc"]
-    known.update(5, store_replica.Merge(tuple(rows), 0))
-    decision = steering_parts.steer(steers, 6, cookie_parts.packet(cookie_parts.SYN))
+    target_catalog.update(5, store_replica.Merge(tuple(rows), 0))
+    decision = steering_parts.steer(
+        vm_steering, 6, cookie_parts.packet(cookie_parts.SYN)
+    )
     assert decision.outcome is steering.Outcome.NO_TARGET
     assert decision.datagram is not None
 
@@ -166,96 +179,106 @@
     The servers' entries have expired and return within two seconds. Until then an
     unanswered caller retransmits its opening packet, but a refused caller gives up.
     """
-    known = catalog.Catalog(entries.Reader())
-    known.update(0, store_replica.Merge((cookie_parts.config_row(1),), 10**9))
-    steers = steering.Steering(
-        "z1", segments.Codec(), known, observations.Observations("z1", known)
+    target_catalog = catalog.Catalog(entries.Reader())
+    target_catalog.update(0, store_replica.Merge((cookie_parts.config_row(1),), 10**9))
+    vm_steering = steering.Steering(
+        "z1",
+        segments.Codec(),
+        target_catalog,
+        observations.Observations("z1", target_catalog),
     )
     raw = cookie_parts.packet(cookie_parts.SYN)
-    decision = steering_parts.steer(steers, 100, raw)
+    decision = steering_parts.steer(vm_steering, 100, raw)
     assert decision.outcome is steering.Outcome.NO_TARGET_YET
     assert decision.datagram is None
     for now_ms in range(0, catalog.LAPSED_ENTRY_GRACE_MS + 1, 500):
-        known.tick(now_ms, confirmed_ms=now_ms)
-    assert steering_parts.steer(steers, 2100, raw).outcome is steering.Outcome.NO_TARGET
+        target_catalog.tick(now_ms, confirmed_ms=now_ms)
+    assert (
+        steering_parts.steer(vm_steering, 2100, raw).outcome
+        is steering.Outcome.NO_TARGET
+    )
 
 
-def test_unknown_cookie_is_dropped(steers: steering.Steering) -> None:
+def test_unknown_cookie_is_dropped(vm_steering: steering.Steering) -> None:
     """Guards against resets of flows to a target that this VM has not received yet."""
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=12345, data=b"GET")
-    decision = steering_parts.steer(steers, 0, raw)
+    decision = steering_parts.steer(vm_steering, 0, raw)
     assert decision.outcome is steering.Outcome.UNKNOWN_COOKIE
     assert decision.datagram is None
 
 
 def test_flows_of_other_vms_are_counted(
-    steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
+    vm_steering: steering.Steering,
+    target_catalog: catalog.Catalog,
+    vm_observations: observations.Observations,
 ) -> None:
     """Guards against new flows to a target that another VM of the zone has filled."""
-    first, second, elsewhere = known.accepting("desk")
+    first, second, elsewhere = target_catalog.accepting("desk")
     filled = [reports.TargetReport(t.cookie, 30, 0, False) for t in (first, elsewhere)]
-    seen.reports.record(0, "10.0.0.8", tuple(filled))
-    seen.tick(0)
+    vm_observations.reports.record(0, "10.0.0.8", tuple(filled))
+    vm_observations.tick(0)
     targets = []
     for port in range(41_000, 41_020):
-        target = steering_parts.opened(steers, 10, port=port)
+        target = steering_parts.opened(vm_steering, 10, port=port)
         raw = cookie_parts.packet(cookie_parts.ACK, port, cookie=target.cookie)
-        steering_parts.steer(steers, 14, raw)
+        steering_parts.steer(vm_steering, 14, raw)
         targets.append(target)
     assert targets.count(second) > 15
 
 
 def test_flows_spread_evenly(
-    steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
+    vm_steering: steering.Steering,
+    target_catalog: catalog.Catalog,
+    vm_observations: observations.Observations,
 ) -> None:
     for number in range(60):
-        steering_parts.opened(steers, port=41_000 + number)
-    own = [t for t in known.targets if t.zone == "z1"]
-    counts = [seen.tracker.flows_on(t.cookie) for t in own]
+        steering_parts.opened(vm_steering, port=41_000 + number)
+    own = [t for t in target_catalog.targets if t.zone == "z1"]
+    counts = [vm_observations.tracker.flows_on(t.cookie) for t in own]
     assert max(counts) - min(counts) <= 4
 
 
-def _overload(seen: observations.Observations, zone: str) -> int:
+def _overload(vm_observations: observations.Observations, zone: str) -> int:
     """Record late responses of a zone; return the time of the last one in ms."""
     pool = overload.Pool("desk", zone)
     for number in range(400):
         ratio = 0.2 if number < 20 else 1.9
-        seen.refusals.answered(10 * number, pool, ratio, False, 1)
+        vm_observations.load_shedder.answered(10 * number, pool, ratio, False, 1)
     return 10 * number
 
 
 def test_flow_refused_by_its_zone_goes_to_a_zone_with_room(
-    steers: steering.Steering, seen: observations.Observations
+    vm_steering: steering.Steering, vm_observations: observations.Observations
 ) -> None:
     """Guards against refusals in an overloaded zone while another zone has room."""
-    now_ms = _overload(seen, "z1")
-    assert steering_parts.opened(steers, now_ms).zone == "z2"
+    now_ms = _overload(vm_observations, "z1")
+    assert steering_parts.opened(vm_steering, now_ms).zone == "z2"
 
 
 def test_flow_is_refused_at_once_when_all_zones_are_overloaded(
-    steers: steering.Steering, seen: observations.Observations
+    vm_steering: steering.Steering, vm_observations: observations.Observations
 ) -> None:
     """Guards against callers that wait for a late response when all are overloaded."""
-    _overload(seen, "z1")
-    now_ms = _overload(seen, "z2")
+    _overload(vm_observations, "z1")
+    now_ms = _overload(vm_observations, "z2")
     decision = steering_parts.steer(
-        steers, now_ms, cookie_parts.packet(cookie_parts.SYN)
+        vm_steering, now_ms, cookie_parts.packet(cookie_parts.SYN)
     )
     assert decision.outcome is steering.Outcome.OVERLOADED
     assert decision.address is None
     assert decision.datagram is not None
-    assert seen.tracker.waiting_flows == {}
+    assert vm_observations.tracker.waiting_flows == {}
 
 
 def test_retransmitted_opening_packet_is_not_refused(
-    steers: steering.Steering, seen: observations.Observations
+    vm_steering: steering.Steering, vm_observations: observations.Observations
 ) -> None:
     """Guards against the reset of a flow that another VM has already placed.
 
     The target's answer to the first opening packet may be on the way to the caller.
     """
-    _overload(seen, "z1")
-    now_ms = _overload(seen, "z2")
+    _overload(vm_observations, "z1")
+    now_ms = _overload(vm_observations, "z2")
     raw = cookie_parts.packet(cookie_parts.SYN, acknowledged=1)
-    decision = steering_parts.steer(steers, now_ms, raw)
+    decision = steering_parts.steer(vm_steering, now_ms, raw)
     assert decision.outcome is steering.Outcome.PLACED
--- a/tests/test_steering_silent.py
+++ b/tests/test_steering_silent.py
@@ -15,238 +15,255 @@
 from tests import cookie_parts, steering_parts
 
 
-def test_retransmission_goes_to_another_target(steers: steering.Steering) -> None:
+def test_retransmission_goes_to_another_target(vm_steering: steering.Steering) -> None:
     """Guards against retransmissions that all go to one silent server.
 
     The caller's attempt would fail after 1.4 s.
     """
-    first = steering_parts.opened(steers)
-    again = steering_parts.opened(steers, 200, retransmissions=1)
+    first = steering_parts.opened(vm_steering)
+    again = steering_parts.opened(vm_steering, 200, retransmissions=1)
     assert again != first
 
 
-def test_silent_target_is_excluded(steers: steering.Steering) -> None:
+def test_silent_target_is_excluded(vm_steering: steering.Steering) -> None:
     """Guards against callers that each lose 200 ms at the same silent server."""
-    first = steering_parts.opened(steers)
+    first = steering_parts.opened(vm_steering)
     for number in range(1, 40):
-        target = steering_parts.opened(steers, number, port=40_100 + number)
+        target = steering_parts.opened(vm_steering, number, port=40_100 + number)
         if target == first:
             steering_parts.opened(
-                steers, number + 200, retransmissions=1, port=40_100 + number
+                vm_steering, number + 200, retransmissions=1, port=40_100 + number
             )
     later = {
-        steering_parts.opened(steers, 300, port=41_000 + number) for number in range(10)
+        steering_parts.opened(vm_steering, 300, port=41_000 + number)
+        for number in range(10)
     }
     assert first not in later
 
 
 def test_target_reported_as_silent_by_two_vms_is_excluded(
-    steers: steering.Steering, seen: observations.Observations
+    vm_steering: steering.Steering, vm_observations: observations.Observations
 ) -> None:
     """Guards against a VM that ignores two peers' reports of a silent server.
 
     Two of its own callers would lose 200 ms before it detected the silence itself.
     """
-    first = steering_parts.opened(steers)
+    first = steering_parts.opened(vm_steering)
     silent = (reports.TargetReport(first.cookie, 3, 0, silent=True),)
-    seen.reports.record(0, "10.0.0.8", silent)
-    seen.reports.record(0, "10.0.0.9", silent)
+    vm_observations.reports.record(0, "10.0.0.8", silent)
+    vm_observations.reports.record(0, "10.0.0.9", silent)
     targets = {
-        steering_parts.opened(steers, 10, port=41_000 + number) for number in range(20)
+        steering_parts.opened(vm_steering, 10, port=41_000 + number)
+        for number in range(20)
     }
     assert first not in targets
 
 
 def test_report_of_one_vm_excludes_no_target(
-    steers: steering.Steering, seen: observations.Observations
+    vm_steering: steering.Steering, vm_observations: observations.Observations
 ) -> None:
     """Guards against one VM with a broken link that excludes targets for its peers."""
-    first = steering_parts.opened(steers)
-    seen.reports.record(
+    first = steering_parts.opened(vm_steering)
+    vm_observations.reports.record(
         0, "10.0.0.8", (reports.TargetReport(first.cookie, 3, 0, True),)
     )
     targets = {
-        steering_parts.opened(steers, 10, port=41_000 + number) for number in range(20)
+        steering_parts.opened(vm_steering, 10, port=41_000 + number)
+        for number in range(20)
     }
     assert first in targets
 
 
 def test_zone_that_is_cut_off_is_excluded_at_once(
-    known: catalog.Catalog, seen: observations.Observations, steers: steering.Steering
+    target_catalog: catalog.Catalog,
+    vm_observations: observations.Observations,
+    vm_steering: steering.Steering,
 ) -> None:
     """Guards against callers that lose 200 ms at each target of a zone cut off."""
     rows = [
         cookie_parts.target_row(f"i-1{digit}", 20, zone="z2") for digit in "0123456789"
     ]
-    known.update(0, store_replica.Merge(tuple(rows), 0))
-    far = [item for item in known.accepting("desk") if item.zone == "z2"]
-    seen.record_unanswered(0, far[0])
-    seen.record_unanswered(0, far[1])
-    own = [item for item in known.accepting("desk") if item.zone == "z1"]
+    target_catalog.update(0, store_replica.Merge(tuple(rows), 0))
+    far = [item for item in target_catalog.accepting("desk") if item.zone == "z2"]
+    vm_observations.record_unanswered(0, far[0])
+    vm_observations.record_unanswered(0, far[1])
+    own = [item for item in target_catalog.accepting("desk") if item.zone == "z1"]
     full = tuple(reports.TargetReport(item.cookie, 90, 0, False) for item in own)
-    seen.reports.record(0, "10.0.0.8", full)
-    seen.tick(0)
+    vm_observations.reports.record(0, "10.0.0.8", full)
+    vm_observations.tick(0)
     targets = {
-        steering_parts.opened(steers, 10, port=41_000 + number) for number in range(20)
+        steering_parts.opened(vm_steering, 10, port=41_000 + number)
+        for number in range(20)
     }
     assert targets == set(own)
 
 
 def test_no_target_is_excluded_when_all_are_silent(
-    known: catalog.Catalog, seen: observations.Observations
+    target_catalog: catalog.Catalog, vm_observations: observations.Observations
 ) -> None:
     """Guards against a VM that refuses all callers after a fault of its own link."""
-    for target in known.accepting("desk"):
-        seen.record_unanswered(0, target)
-        seen.record_unanswered(0, target)
-    assert len(seen.candidates(10, "desk", 0, 0.5, True).candidates) == 3
+    for target in target_catalog.accepting("desk"):
+        vm_observations.record_unanswered(0, target)
+        vm_observations.record_unanswered(0, target)
+    assert len(vm_observations.candidates(10, "desk", 0, 0.5, True).candidates) == 3
 
 
 def test_target_whose_flows_only_retransmit_is_excluded(
-    steers: steering.Steering,
+    vm_steering: steering.Steering,
 ) -> None:
     """Guards against new flows to a server whose open flows only retransmit."""
-    first = steering_parts.opened(steers)
+    first = steering_parts.opened(vm_steering)
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
     for now_ms in (10, 210, 610):
-        steering_parts.steer(steers, now_ms, raw)
+        steering_parts.steer(vm_steering, now_ms, raw)
     targets = {
-        steering_parts.opened(steers, 620, port=41_000 + number) for number in range(20)
+        steering_parts.opened(vm_steering, 620, port=41_000 + number)
+        for number in range(20)
     }
     assert first not in targets
 
 
-def _crash(steers: steering.Steering, seen: observations.Observations) -> model.Target:
+def _crash(
+    vm_steering: steering.Steering, vm_observations: observations.Observations
+) -> model.Target:
     """Make a target with one open flow silent; return it when it is dead."""
-    first = steering_parts.opened(steers)
+    first = steering_parts.opened(vm_steering)
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
     decision = None
     for now_ms in (10, 210):
-        neighbour = steering_parts.opened(steers, now_ms, port=42_000 + now_ms)
+        neighbour = steering_parts.opened(vm_steering, now_ms, port=42_000 + now_ms)
         while neighbour == first:
             neighbour = steering_parts.opened(
-                steers, now_ms, port=43_000 + len(seen.tracker)
+                vm_steering, now_ms, port=43_000 + len(vm_observations.tracker)
             )
-        seen.record_answer(now_ms, neighbour)
-        decision = steering_parts.steer(steers, now_ms, raw)
+        vm_observations.record_answer(now_ms, neighbour)
+        decision = steering_parts.steer(vm_steering, now_ms, raw)
     assert decision is not None
     assert decision.probe == first
-    assert seen.liveness.record_probe(460, first.cookie, False, 300)
+    assert vm_observations.liveness.record_probe(460, first.cookie, False, 300)
     return first
 
 
 def test_flows_of_a_dead_target_are_reset(
-    steers: steering.Steering, seen: observations.Observations
+    vm_steering: steering.Steering, vm_observations: observations.Observations
 ) -> None:
     """Guards against callers of a crashed server that wait until their deadlines."""
-    first = _crash(steers, seen)
-    resets = steers.reset_flows(first)
+    first = _crash(vm_steering, vm_observations)
+    resets = vm_steering.reset_flows(first)
     assert [flow for flow, _ in resets] == [cookie_parts.flow()]
     raw = cookie_parts.packet(
         cookie_parts.ACK, 40_077, acknowledged=900, cookie=first.cookie, data=b"GET"
     )
-    decision = steering_parts.steer(steers, 710, raw)
+    decision = steering_parts.steer(vm_steering, 710, raw)
     assert decision.outcome is steering.Outcome.TARGET_DEAD
     assert decision.address is None
 
 
 def test_target_that_answers_again_is_not_dead(
-    steers: steering.Steering, seen: observations.Observations
+    vm_steering: steering.Steering, vm_observations: observations.Observations
 ) -> None:
-    first = _crash(steers, seen)
-    seen.record_answer(720, first)
+    first = _crash(vm_steering, vm_observations)
+    vm_observations.record_answer(720, first)
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
-    assert steering_parts.steer(steers, 730, raw).outcome is steering.Outcome.FORWARDED
+    assert (
+        steering_parts.steer(vm_steering, 730, raw).outcome
+        is steering.Outcome.FORWARDED
+    )
 
 
 def test_dead_target_gets_no_flow(
-    steers: steering.Steering, seen: observations.Observations
+    vm_steering: steering.Steering, vm_observations: observations.Observations
 ) -> None:
     """Guards against flows placed on a dead server whose entry still exists.
 
     Such a flow would be reset with the caller's next packet.
     """
-    first = _crash(steers, seen)
+    first = _crash(vm_steering, vm_observations)
     for number in range(30):
-        assert steering_parts.opened(steers, 1600, port=44_000 + number) != first
+        assert steering_parts.opened(vm_steering, 1600, port=44_000 + number) != first
 
 
 def test_target_that_returns_keeps_its_flows(
-    steers: steering.Steering, known: catalog.Catalog, seen: observations.Observations
+    vm_steering: steering.Steering,
+    target_catalog: catalog.Catalog,
+    vm_observations: observations.Observations,
 ) -> None:
     """Guards against resets of flows on a server that only lost its link.
 
     Another VM has opened a flow on the server since. This VM forwards its packet and
     probes the server once more.
     """
-    first = _crash(steers, seen)
-    steers.reset_flows(first)
+    first = _crash(vm_steering, vm_observations)
+    vm_steering.reset_flows(first)
     now_ms = 470 + liveness.DEAD_HOLD_MS
-    neighbours = [item for item in known.accepting("desk") if item != first]
-    seen.record_answer(now_ms, neighbours[0])
+    neighbours = [item for item in target_catalog.accepting("desk") if item != first]
+    vm_observations.record_answer(now_ms, neighbours[0])
     raw = cookie_parts.packet(
         cookie_parts.ACK, 40_078, cookie=first.cookie, data=b"GET"
     )
-    decision = steering_parts.steer(steers, now_ms, raw)
+    decision = steering_parts.steer(vm_steering, now_ms, raw)
     assert decision.outcome is steering.Outcome.FORWARDED
     assert decision.probe == first
-    again = steering_parts.steer(steers, now_ms + 10, raw)
+    again = steering_parts.steer(vm_steering, now_ms + 10, raw)
     assert again.outcome is steering.Outcome.FORWARDED
     assert again.probe is None
 
 
 def test_flows_of_a_replaced_target_are_reset(
-    steers: steering.Steering, known: catalog.Catalog
+    vm_steering: steering.Steering, target_catalog: catalog.Catalog
 ) -> None:
     """Guards against packets to a server that took over a crashed server's address.
 
     The new server drops such packets silently, and the callers would wait.
     """
-    first = steering_parts.opened(steers)
+    first = steering_parts.opened(vm_steering)
     row = cookie_parts.target_row(
         "i-0d",
         9,
         born=9000,
         address=f"{first.address.host}:{first.address.port}",
     )
-    known.update(10, store_replica.Merge((row,), 0))
+    target_catalog.update(10, store_replica.Merge((row,), 0))
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
-    assert steering_parts.steer(steers, 20, raw).outcome is steering.Outcome.TARGET_DEAD
+    assert (
+        steering_parts.steer(vm_steering, 20, raw).outcome
+        is steering.Outcome.TARGET_DEAD
+    )
 
 
 def test_opening_packet_of_a_replaced_target_goes_elsewhere(
-    steers: steering.Steering, known: catalog.Catalog
+    vm_steering: steering.Steering, target_catalog: catalog.Catalog
 ) -> None:
     """Guards against a flow lost when its server is replaced while it opens."""
-    first = steering_parts.opened(steers)
+    first = steering_parts.opened(vm_steering)
     address = f"{first.address.host}:{first.address.port}"
     row = cookie_parts.target_row("i-0d", 9, born=9000, address=address)
-    known.update(10, store_replica.Merge((row,), 0))
+    target_catalog.update(10, store_replica.Merge((row,), 0))
     copy = cookie_parts.packet(cookie_parts.SYN, acknowledged=1)
-    decision = steering_parts.steer(steers, 20, copy)
+    decision = steering_parts.steer(vm_steering, 20, copy)
     assert decision.outcome is steering.Outcome.PLACED
     assert decision.target is not None
     assert decision.target.cookie != first.cookie
 
 
 def test_flow_on_a_restarted_server_is_forwarded(
-    steers: steering.Steering, known: catalog.Catalog
+    vm_steering: steering.Steering, target_catalog: catalog.Catalog
 ) -> None:
     """Guards against resets of flows opened on a server that restarted.
 
     The server restarted during an outage of the store, and the flow carries the
     cookie of the former start. It remains open when the new entry arrives.
     """
-    first = steering_parts.opened(steers)
+    first = steering_parts.opened(vm_steering)
     row = cookie_parts.target_row(
         first.name,
         9,
         born=9000,
         address=f"{first.address.host}:{first.address.port}",
     )
-    known.update(10, store_replica.Merge((row,), 3000))
+    target_catalog.update(10, store_replica.Merge((row,), 3000))
     raw = cookie_parts.packet(cookie_parts.ACK, cookie=first.cookie, data=b"GET")
-    decision = steering_parts.steer(steers, 20, raw)
+    decision = steering_parts.steer(vm_steering, 20, raw)
     assert decision.outcome is steering.Outcome.FORWARDED
     assert decision.address == first.address
 
@@ -256,8 +273,8 @@
     [(False, False, True), (True, False, False), (False, True, False)],
 )
 def test_overdue_request_is_evidence_only_without_another_cause(
-    steers: steering.Steering,
-    seen: observations.Observations,
+    vm_steering: steering.Steering,
+    vm_observations: observations.Observations,
     paused: bool,
     moved: bool,
     reported: bool,
@@ -267,7 +284,7 @@
     Requests look overdue after VMs stalled together, or after the fabric changed its
     hash.
     """
-    first = steering_parts.opened(steers, 5000)
+    first = steering_parts.opened(vm_steering, 5000)
     for now_ms, acknowledged, data in (
         (5010, 100, b"GET"),
         (5030, 2500, b""),
@@ -280,24 +297,24 @@
             cookie=first.cookie,
             data=data,
         )
-        steering_parts.steer(steers, now_ms, raw)
+        steering_parts.steer(vm_steering, now_ms, raw)
     if paused:
-        seen.record_pause(5390)
+        vm_observations.record_pause(5390)
     if moved:
         raw = cookie_parts.packet(cookie_parts.ACK, 40_900, cookie=first.cookie)
-        steering_parts.steer(steers, 5200, raw)
-    witnesses = seen.take_overdue(5400)[1]
+        steering_parts.steer(vm_steering, 5200, raw)
+    witnesses = vm_observations.take_overdue(5400)[1]
     assert bool(witnesses) == reported
 
 
 def test_target_that_hangs_gets_fewer_flows(
-    steers: steering.Steering, seen: observations.Observations
+    vm_steering: steering.Steering, vm_observations: observations.Observations
 ) -> None:
     """Guards against new flows to a server that opens flows but answers no request.
 
     Its health check passes, and each new flow costs its caller a deadline.
     """
-    first = steering_parts.opened(steers)
+    first = steering_parts.opened(vm_steering)
     for number in range(2):
         port = 46_000 + number
         for now_ms, acknowledged, data in (
@@ -313,27 +330,28 @@
                 cookie=first.cookie,
                 data=data,
             )
-            steering_parts.steer(steers, now_ms, raw)
-    assert seen.take_overdue(600)[0] == [first]
+            steering_parts.steer(vm_steering, now_ms, raw)
+    assert vm_observations.take_overdue(600)[0] == [first]
     assert all(
-        steering_parts.opened(steers, 610, port=47_000 + n) != first for n in range(20)
+        steering_parts.opened(vm_steering, 610, port=47_000 + n) != first
+        for n in range(20)
     )
     trial_ms = 600 + silence.TRIAL_INTERVAL_MS
     assert any(
-        steering_parts.opened(steers, trial_ms, port=48_000 + n) == first
+        steering_parts.opened(vm_steering, trial_ms, port=48_000 + n) == first
         for n in range(20)
     )
 
 
 def test_retransmitted_opening_packet_leaves_the_zone(
-    steers: steering.Steering, seen: observations.Observations
+    vm_steering: steering.Steering, vm_observations: observations.Observations
 ) -> None:
     """Guards against a caller whose retransmissions all go to one zone cut off."""
     for number in range(20):
-        first = steering_parts.opened(steers, port=44_000 + number)
+        first = steering_parts.opened(vm_steering, port=44_000 + number)
         again = steering_parts.opened(
-            steers, 200, retransmissions=1, port=44_000 + number
+            vm_steering, 200, retransmissions=1, port=44_000 + number
         )
         assert again.zone != first.zone
-        seen.record_answer(201, first)
-        seen.record_answer(201, again)
+        vm_observations.record_answer(201, first)
+        vm_observations.record_answer(201, again)
