--- a/eelgrasswick/_line.py
+++ b/eelgrasswick/_line.py
@@ -11,7 +11,7 @@
 
 
 class Token(typing.NamedTuple):
-    """One word of a line and its column, counted from 1."""
+    """One word of a line, and its column, counted from 1."""
 
     text: str
     column: int
--- a/eelgrasswick/cookie/bootstrap.py
+++ b/eelgrasswick/cookie/bootstrap.py
@@ -21,7 +21,7 @@
     from eelgrasswick.cookie import offer
 
 # Time for other VMs to accept a connection. After all VMs lost power, a starting VM
-# waits for this time in vain, because VMs without power do not even refuse.
+# waits for this time in vain, because VMs without power do not refuse connections.
 CONNECT_TIMEOUT_S: typing.Final = 0.005
 RESPONSE_TIMEOUT_S: typing.Final = 0.1
 # At most this many VMs receive a request for rows, one after the other.
--- a/eelgrasswick/cookie/catalog.py
+++ b/eelgrasswick/cookie/catalog.py
@@ -14,7 +14,8 @@
 )
 
 # An entry that is missing after an outage of the store stays usable for this long.
-# Entries lapse while targets can't renew them, and are back within two seconds. If
+# Entries lapse while targets can't renew them, and targets restore them within two
+# seconds. If
 # the VM dropped them at once, it would refuse a whole service until then.
 LAPSED_ENTRY_GRACE_MS: typing.Final = 2000
 # When a VM's rows were older than this, a deletion may be due to an outage of the
@@ -70,7 +71,7 @@
         self._by_name: dict[str, model.Target] = {}
         self._by_cookie: dict[int, model.Target] = {}
         self._by_service: dict[str, list[model.Target]] = {}
-        # Targets that get no new flows only because their zone is evacuated.
+        # These targets get no new flows only because their zone is evacuated.
         self._withheld: dict[str, list[model.Target]] = {}
         self._gone_ms: collections.OrderedDict[int, int] = collections.OrderedDict()
         self._lapsed: dict[str, _Lapsed] = {}
@@ -80,7 +81,7 @@
         self._completion_left_ms = 0
         # A dict keeps insertion order, so that the oldest route is evicted first.
         self._dropped_routes: dict[tuple[bytes, int], None] = {}
-        self._seen_ms: dict[int, int] = {}
+        self._received_ms: dict[int, int] = {}
 
     @property
     def ready(self) -> bool:
@@ -115,14 +116,14 @@
         return self.config.routes.get((flow.service_ip, flow.service_port))
 
     def route_dropped(self, segment: model.Segment) -> bool:
-        """Return True if this VM saw the route of a segment being dropped."""
+        """Return True if this VM has recorded the removal of a segment's route."""
         return (
             segment.flow.service_ip,
             segment.flow.service_port,
         ) in self._dropped_routes
 
     def by_cookie(self, cookie: int) -> model.Target | None:
-        """Return the target of a cookie, including one that left recently."""
+        """Return the target of a cookie, including one whose entry is recently gone."""
         return self._by_cookie.get(cookie)
 
     def has_ended(self, cookie: int) -> bool:
@@ -134,15 +135,15 @@
         return self._by_service.get(service, [])
 
     def withheld(self, service: str) -> list[model.Target]:
-        """Return a service's targets that an evacuation alone keeps from new flows."""
+        """Return a service's targets that only an evacuation excludes."""
         return self._withheld.get(service, [])
 
     def cold_ms(self, target: model.Target, now_ms: int) -> int:
         """Return for how many more ms a target is expected to be cold and slow."""
         left_ms = 0
         if target.cold_ms:
-            seen_ms = self._seen_ms.get(target.cookie, now_ms)
-            left_ms = target.cold_ms - (now_ms - seen_ms)
+            received_ms = self._received_ms.get(target.cookie, now_ms)
+            left_ms = target.cold_ms - (now_ms - received_ms)
         service = self.service(target.service)
         if service is not None and service.cold_ms:
             age_ms = self.ages.age_ms(now_ms, target.cookie)
@@ -211,7 +212,7 @@
                 break
             del self._gone_ms[cookie]
             target = self._by_cookie.pop(cookie, None)
-            self._seen_ms.pop(cookie, None)
+            self._received_ms.pop(cookie, None)
             self.ages.remove(cookie)
             if target is not None:
                 self._owners.remove(target)
@@ -249,8 +250,8 @@
         if row.value is None:
             former = self.evacuations.end(row.key)
             zone = former.zone if former is not None else "-"
-            # Targets may have restarted during the evacuation, and their new entries
-            # may not have arrived yet.
+            # Targets may have restarted during the evacuation, and this VM may not have
+            # received their new entries yet.
             for target in self.targets:
                 if target.zone == zone:
                     self.ages.record_start(now_ms, target.cookie)
@@ -292,7 +293,7 @@
             self._gone_ms[before.cookie] = now_ms
         self._lapsed.pop(row.key, None)
         self._by_name[row.key] = target
-        self._seen_ms[target.cookie] = now_ms
+        self._received_ms[target.cookie] = now_ms
         self._gone_ms.pop(target.cookie, None)
         return LogEvent(
             "target_known",
--- a/eelgrasswick/cookie/cold_targets.py
+++ b/eelgrasswick/cookie/cold_targets.py
@@ -10,14 +10,14 @@
 
 
 class Age(typing.NamedTuple):
-    """Age of an incarnation of a target when this VM first saw it.
+    """Age of an incarnation of a target when this VM first recorded it.
 
     Attributes:
-        seen_ms: Time when this VM first saw the incarnation.
+        recorded_ms: Time when this VM first recorded the incarnation.
         age_ms: Lower bound of its age at that time.
     """
 
-    seen_ms: int
+    recorded_ms: int
     age_ms: int
 
 
@@ -51,8 +51,8 @@
         if target.cookie in self._ages:
             return
         age_ms = 0 if watched else int(1000 * self._unix_s()) - target.born_ms
-        # If the age is negative, the time of day is wrong. Were all targets treated as
-        # new because of it, this VM would refuse all flows.
+        # If the age is negative, the time of day is wrong. If all targets were treated
+        # as new because of a wrong time, this VM would refuse all flows.
         if age_ms >= 0:
             self._ages[target.cookie] = Age(now_ms, age_ms)
 
@@ -77,7 +77,7 @@
     def age_ms(self, now_ms: int, cookie: int) -> int | None:
         """Return a lower bound of a target's age; None if it is unknown."""
         age = self._ages.get(cookie)
-        return None if age is None else age.age_ms + now_ms - age.seen_ms
+        return None if age is None else age.age_ms + now_ms - age.recorded_ms
 
 
 class Eligible(typing.NamedTuple):
@@ -102,7 +102,7 @@
         cold_ms: typing.Callable[[model.Target, int], int],
         ages: Ages,
     ) -> None:
-        """Limit the flows to the targets of a catalog.
+        """Create the limits for the targets of a catalog.
 
         Args:
             limits: This VM's share of the flows that cold targets may take.
--- a/eelgrasswick/cookie/entry.py
+++ b/eelgrasswick/cookie/entry.py
@@ -57,7 +57,7 @@
 
 
 class EntryVm:
-    """Forwards packets, and keeps the routes and targets for that current."""
+    """Forwards packets, and keeps its copy of the routes and targets current."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         parts: Parts,
         rng: random.Random,
     ) -> None:
-        """Create the tasks; ``start`` opens the sockets.
+        """Create the tasks without opening sockets; ``start`` opens them.
 
         Args:
             reactor: Twisted reactor.
@@ -159,7 +159,7 @@
         self._log.write("settings_refused", kind=error.kind.value, detail=detail)
 
     def stop(self) -> None:
-        """Start to stop: report not ready, and forward packets until traffic ends."""
+        """Begin the shutdown: report not ready, and forward until traffic ends."""
         if self._stop_requested_ms is None:
             self._stop_requested_ms = clock.now_ms()
             self._log.write("stopping", flows=len(self._observations.tracker))
--- a/eelgrasswick/cookie/exchange.py
+++ b/eelgrasswick/cookie/exchange.py
@@ -2,8 +2,8 @@
 
 A request carries a number that its response repeats. Only a response confirms the
 age of a VM's rows, and that age counts from when the request was sent. A datagram
-may stay in a queue for seconds, and a VM that trusted an update of unknown age
-would treat outdated rows as current.
+may stay in a queue for seconds. If a VM computed the age of its rows from an update,
+it would treat outdated rows as current.
 """
 
 import random
@@ -119,7 +119,7 @@
         self._number = rng.getrandbits(31)
         self._pending_requests: dict[int, tuple[str, int]] = {}
         self._dead_notice_sent_ms: dict[int, int] = {}
-        # Each witness that waits to be sent, and when it was added.
+        # This list holds each witness that waits to be sent, and when it was added.
         self._witnesses: list[tuple[ejection.Witness, int]] = []
 
     def due_requests(self, now_ms: int) -> tuple[list[Outgoing], list[str]]:
--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards callers' packets by their socket, and probes suspected targets."""
+"""Forwards callers' packets through a socket, and probes suspected targets."""
 
 import typing
 
@@ -20,7 +20,8 @@
 
     Attributes:
         port: The socket, for the reactor to listen on.
-        on_dead: Called with the cookie of each target that this VM has found dead.
+        on_dead: Called with the cookie of each target that this VM has detected as
+            dead.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         carrier.probe = self._begin_probe
 
     def begin(self) -> None:
-        """Send the carrier's datagrams by the socket from now on."""
+        """Send the carrier's datagrams through the socket from now on."""
         self._carrier.send = self.port.send
 
     def _begin_probe(self, target: model.Target) -> None:
--- a/eelgrasswick/cookie/liveness.py
+++ b/eelgrasswick/cookie/liveness.py
@@ -7,8 +7,8 @@
 A reset would break a working flow, so a target is dead only under three conditions.
 It left a packet of its flows unanswered for 200 ms. A TCP connection to the target
 fails. And another target of its zone answers during the probe, which excludes a cut
-of the path to the zone; an entry of the target that has been missing for longer than
-an outage of the store explains replaces this last condition.
+of the path to the zone. The last condition is waived for a target whose entry has been
+missing for longer than an outage of the store explains.
 """
 
 import enum
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -44,7 +44,7 @@
     """Flows, response times and unanswered packets of all targets.
 
     Attributes:
-        tracker: The flows seen lately.
+        tracker: Records of recently active flows.
         answer_times: Response times by target.
         response_times: Response times by service.
         ejections: Outlier ejection of targets.
--- a/eelgrasswick/cookie/peers.py
+++ b/eelgrasswick/cookie/peers.py
@@ -118,8 +118,9 @@
         for host in hosts:
             if host != self._host and host not in self._peers:
                 self._peers[host] = Peer(host, now_ms)
-                # A new host receives the next request, so that a VM that starts
-                # finds the others soon. A VM without peers calls the store itself.
+                # A new host receives the next request, so that a starting VM makes
+                # contact with the others soon. A VM without peers calls the store
+                # itself.
                 self._cycle.insert(0, host)
 
     def add_members(self, now_ms: int, members: typing.Iterable[Member]) -> None:
@@ -170,8 +171,8 @@
         """
         self._request_rounds += 1
         chosen = self._next_in_cycle()
-        fresh = self._sample_hosts(self._freshest_hosts(), 1)
-        return chosen + [host for host in fresh if host not in chosen]
+        sampled = self._sample_hosts(self._freshest_hosts(), 1)
+        return chosen + [host for host in sampled if host not in chosen]
 
     def _next_in_cycle(self) -> list[str]:
         if not self._cycle:
--- a/eelgrasswick/cookie/ports.py
+++ b/eelgrasswick/cookie/ports.py
@@ -28,7 +28,7 @@
         self._on_datagram(datagram, addr[0])
 
     def send(self, datagram: bytes, address: model.Address) -> None:
-        """Send a datagram; it is lost, like any lost datagram, if sending fails."""
+        """Send a datagram; if sending fails, report the error and drop the datagram."""
         try:
             typing.cast(typing.Any, self.transport).write(datagram, address)
         except (OSError, error.MessageLengthError) as failure:
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -71,7 +71,7 @@
 
 
 class Steering:
-    """Decides about packets by the catalog and by the observations of this VM."""
+    """Decides about packets from the catalog and the observations of this VM."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         # has not received it yet, a reset would refuse an allowed flow, whereas a
         # caller without a response retransmits its opening packet. An open flow
         # proves that some VM has the route, so this VM resets an open flow only
-        # after it has seen the removal of the route.
+        # after it has recorded the removal of the route.
         resettable = segment.opening or self._catalog.route_dropped(segment)
         if segment.reset or age_ms > MAX_CATALOG_AGE_MS or not resettable:
             return Decision(Outcome.NO_ROUTE, None, None, None)
@@ -205,8 +205,8 @@
         self, flow: model.FlowId, withheld: tuple[Reason, ...]
     ) -> Decision:
         if not self._catalog.entries_complete:
-            # A reset would be final, whereas the caller's next retransmission may
-            # find a target.
+            # A reset would be final, whereas a target may be available for the caller's
+            # next retransmission.
             return Decision(Outcome.NO_TARGET_YET, None, None, None)
         outcome = Outcome.NO_TARGET
         if Reason.COLD in withheld:
@@ -293,7 +293,7 @@
         return ended or self._observations.liveness.dead(now_ms, cookie)
 
     def reset_flows(self, target: model.Target) -> list[tuple[model.FlowId, bytes]]:
-        """Forget the open flows of a dead target, and return a reset for each."""
+        """Remove the open flows of a dead target, and return a reset for each."""
         flows = self._observations.tracker.open_flows(target.cookie)
         for flow, _ in flows:
             self._observations.tracker.remove(flow)
--- a/eelgrasswick/cookie/store_watch.py
+++ b/eelgrasswick/cookie/store_watch.py
@@ -59,7 +59,7 @@
         return self._policy.failures < 2
 
     def check(self, now_ms: int, rank: int) -> None:
-        """Call the store if the watch policy says that a call is due.
+        """Call the store if a call is due according to the watch policy.
 
         Args:
             now_ms: Present time.
--- a/eelgrasswick/cookie/tracker.py
+++ b/eelgrasswick/cookie/tracker.py
@@ -13,17 +13,18 @@
 
 # Limit of the number of records, each of which takes some hundred bytes.
 MAX_FLOWS: typing.Final = 20_000
-# A flow without a packet for this long is forgotten, because another VM may carry it
-# now. Callers pause for about a second between the requests of a long flow.
+# The record of a flow without a packet for this long is deleted, because another VM may
+# forward the flow now. Callers pause for about a second between the requests of a long
+# flow.
 IDLE_TIMEOUT_MS: typing.Final = 4000
-# Longer times are ignored as pauses of the caller; they are no response times.
+# Longer times are ignored, because they are pauses of the caller and no response times.
 MAX_SAMPLE_MS: typing.Final = 2000
 # A request that waits longer than this is overdue, unless the previous response of
 # its flow was acknowledged later than this. A caller that acknowledges a response only
 # with its next request gives no measure of the response time.
 OVERDUE_MS: typing.Final = 300
 # A request is counted as waiting for at most this long. Afterwards its caller has
-# given up, or another VM carries the flow; if such requests were still counted, their
+# given up, or another VM forwards the flow; if such requests were still counted, their
 # target would look full.
 MAX_WAIT_MS: typing.Final = 2000
 # Stream positions are counted modulo this number.
@@ -31,7 +32,7 @@
 
 
 class Measurement(typing.NamedTuple):
-    """What a segment shows about its target.
+    """Results of recording one segment of a flow.
 
     Attributes:
         opened: True when the segment is the first that shows the flow to be open.
@@ -121,14 +122,14 @@
 
 
 class Tracker:
-    """Records of the flows seen lately, and their number by target."""
+    """Records of recently active flows, and their number by target."""
 
     def __init__(self) -> None:
         """Create an empty tracker."""
         self._records: collections.OrderedDict[model.FlowId, Record] = (
             collections.OrderedDict()
         )
-        self._seen_ms: dict[model.FlowId, int] = {}
+        self._last_packet_ms: dict[model.FlowId, int] = {}
         self._flows: collections.Counter[int] = collections.Counter()
         self._requests_ms: collections.OrderedDict[model.FlowId, int] = (
             collections.OrderedDict()
@@ -270,7 +271,7 @@
         """Delete the records of idle flows, and end waits that last too long."""
         while self._records:
             flow = next(iter(self._records))
-            if now_ms - self._seen_ms[flow] < IDLE_TIMEOUT_MS:
+            if now_ms - self._last_packet_ms[flow] < IDLE_TIMEOUT_MS:
                 break
             self._drop(flow)
         while self._waiting_since_ms:
@@ -292,12 +293,12 @@
         if len(self._records) >= MAX_FLOWS:
             self._drop(next(iter(self._records)))
         self._records[flow] = record
-        self._seen_ms[flow] = now_ms
+        self._last_packet_ms[flow] = now_ms
         self._flows[record.cookie] += 1
 
     def _touch(self, now_ms: int, flow: model.FlowId) -> None:
         self._records.move_to_end(flow)
-        self._seen_ms[flow] = now_ms
+        self._last_packet_ms[flow] = now_ms
 
     def _move(self, flow: model.FlowId, record: Record, cookie: int) -> None:
         if record.cookie == cookie:
@@ -311,7 +312,7 @@
 
     def _drop(self, flow: model.FlowId) -> None:
         record = self._records.pop(flow)
-        del self._seen_ms[flow]
+        del self._last_packet_ms[flow]
         self._requests_ms.pop(flow, None)
         self._end_wait(flow, record.cookie)
         _decrement(self._flows, record.cookie)
--- a/eelgrasswick/cookie/transfer.py
+++ b/eelgrasswick/cookie/transfer.py
@@ -38,7 +38,7 @@
     noisy = False
 
     def __init__(self, offers: offer.OfferEncoder) -> None:
-        """Serve the offers of an encoder."""
+        """Create a factory whose protocols serve the offers of an encoder."""
         self._offers = offers
 
     def buildProtocol(self, addr: object) -> _Server:  # noqa: N802
--- a/eelgrasswick/cookie/watch_policy.py
+++ b/eelgrasswick/cookie/watch_policy.py
@@ -3,9 +3,10 @@
 Load pattern: hundreds of VMs share one store whose calls are limited and cost money.
 One VM of each zone, the watcher, watches the store, and the others receive its
 updates. A watcher may die, be cut off, or have a connection that silently stopped
-working, and no VM is notified of that. All VMs detect it by the age of their rows,
-and take over one after the other in the order of rank. When the store fails, retries
-of all VMs would overload it as it returns, so only the first in rank retries often.
+working, and no VM is notified of that failure. All VMs detect it by the age of their
+rows, and take over one after the other in the order of rank. When the store fails,
+retries of all VMs would overload it as it returns, so only the first in rank retries
+often.
 """
 
 import typing
@@ -27,8 +28,8 @@
 MAX_STAGGER_STEPS: typing.Final = 8
 # A VM that took over keeps watching for this long, until the watcher may be back.
 TAKEOVER_DURATION_MS: typing.Final = 8000
-# After this time a starting VM of a fleet of 62 has found the others of its zone.
-# Before that, many VMs would compute rank 0 for themselves.
+# After this time a starting VM of a fleet of 62 has contact with the others of its
+# zone. Before that, many VMs would compute rank 0 for themselves.
 RANK_SETTLE_MS: typing.Final = 2000
 MIN_RETRY_MS: typing.Final = 100
 MAX_RETRY_MS: typing.Final = 500
@@ -51,7 +52,7 @@
         self._has_succeeded = False
 
     def mark_rank_reliable(self, now_ms: int) -> None:
-        """Record that this VM has found the others of its zone, and so its rank."""
+        """Record that this VM has the members of its zone, so its rank is reliable."""
         self._rank_reliable_ms = now_ms
 
     def due(self, now_ms: int, age_ms: int, rank: int) -> bool:
--- a/eelgrasswick/cookie/web.py
+++ b/eelgrasswick/cookie/web.py
@@ -24,7 +24,7 @@
     """Responds to the HTTP requests of one connection by path, one at a time."""
 
     def __init__(self, pages: Pages) -> None:
-        """Serve the pages of some paths; other paths get 404."""
+        """Create a protocol that serves pages by path, and 404 for other paths."""
         self._pages = pages
         self._http = h11.Connection(h11.SERVER)
 
@@ -86,7 +86,7 @@
     noisy = False
 
     def __init__(self, pages: Pages) -> None:
-        """Serve the pages of some paths on each connection."""
+        """Create a factory whose protocols serve pages by path."""
         self._pages = pages
 
     def buildProtocol(self, addr: object) -> HttpProtocol:  # noqa: N802
--- a/eelgrasswick/decisions/choice.py
+++ b/eelgrasswick/decisions/choice.py
@@ -1,8 +1,8 @@
 """Choice of a target for a new flow.
 
 The module applies the decisions under load in a fixed order: which targets are usable,
-which have room, how strong each target is, and then the placement policy. It answers no
-load pattern of its own; the modules that it combines do.
+which have room, how strong each target is, and then the placement policy. It addresses
+no load pattern itself; the modules that it combines do.
 """
 
 import typing
--- a/eelgrasswick/decisions/cold_start.py
+++ b/eelgrasswick/decisions/cold_start.py
@@ -2,8 +2,8 @@
 
 Load pattern: servers are replaced by the dozen, or all servers of a zone return
 together, while many callers open flows. A cold target sustains few new flows a second,
-and no VM sees the flows that the others send to it. Each VM alone stays far below the
-limit, and together they exceed it.
+and no VM can count the flows that the others send to it. Each VM alone stays far below
+the limit, and together they exceed it.
 
 Cold targets therefore get no flows while warm targets can take them. Where only cold
 targets are left, a few VMs may open flows to each of them. Every VM computes the same
@@ -65,7 +65,7 @@
 
         Args:
             vm: Address of this VM.
-            limit: What operators tolerate; the default limit when None.
+            limit: How far the limit may be exceeded; the default when None.
         """
         self._vm = vm
         self._limit = limit or Limit()
--- a/eelgrasswick/decisions/concurrency.py
+++ b/eelgrasswick/decisions/concurrency.py
@@ -4,15 +4,15 @@
 2,000 connections, so it never sheds. Its queue grows until every answer is late, and
 goodput falls to nothing although all slots work.
 
-The limit is learned from lifetimes, as congestion control learns from round-trip times.
-It starts at ``INITIAL_LIMIT`` and grows by one with each flow that ends in time or is
-no longer young, as long-lived flows are soon. When the shortest of the last
-``LIFETIME_SAMPLES`` lifetimes exceeds the base lifetime by ``MAX_QUEUE_MS``, the limit
-falls to the number of flows that the target ends in that time (Little's law), and then
-grows by one per lifetime until ``RECOVERY_MS`` have passed. Each home learns its own
-limits, so they hold without messages however stale the views of other homes are: when a
-VM joins, dies or is cut off, lifetimes change and the limits follow. Using the shortest
-lifetime leaves long-lived flows and downloads out.
+The limit is derived from lifetimes, as congestion control derives its window from
+round-trip times. It starts at ``INITIAL_LIMIT`` and grows by one with each flow that
+ends in time or is no longer young, as long-lived flows are soon. When the shortest of
+the last ``LIFETIME_SAMPLES`` lifetimes exceeds the base lifetime by ``MAX_QUEUE_MS``,
+the limit falls to the number of flows that the target ends in that time (Little's law),
+and then grows by one per lifetime until ``RECOVERY_MS`` have passed. Each home derives
+its own limits, so they hold without messages however stale the views of other homes
+are: when a VM joins, dies or is cut off, lifetimes change and the limits follow. Using
+the shortest lifetime leaves long-lived flows and downloads out.
 
 Lifetimes also differ because requests differ. A lifetime counts as late only when it
 exceeds the base by ``MAX_QUEUE_MS`` and by ``DEVIATION_FACTOR`` times the usual
@@ -21,7 +21,7 @@
 fewer, a queue that builds up could be mistaken for it. Without this allowance, targets
 that answer at once would have most of their flows refused.
 
-``LIFETIME_SAMPLES`` is small because a home sees few flows a second of a weak target.
+``LIFETIME_SAMPLES`` is small because a home has few flows a second on a weak target.
 ``INITIAL_LIMIT`` weighs a burst of requests against a burst of long-lived flows, which
 look alike until some have ended: with a lower limit, long-lived flows that open at once
 are refused; with a higher one, more answers are late.
@@ -73,7 +73,7 @@
     """The concurrency limit of each target at one home."""
 
     def __init__(self) -> None:
-        """Start with the initial limit for every target."""
+        """Create a table in which every target has the initial limit."""
         self._limits: dict[str, _Limit] = {}
 
     def room(self, name: str, busy: int) -> bool:
--- a/eelgrasswick/decisions/ejection.py
+++ b/eelgrasswick/decisions/ejection.py
@@ -62,10 +62,10 @@
 
 
 class _Record:
-    __slots__ = ("lasts_ms", "seen_ms", "until_ms")
+    __slots__ = ("lasts_ms", "witnessed_ms", "until_ms")
 
     def __init__(self) -> None:
-        self.seen_ms: dict[int, int] = {}
+        self.witnessed_ms: dict[int, int] = {}
         self.until_ms = 0
         self.lasts_ms = 0
 
@@ -78,7 +78,7 @@
     """
 
     def __init__(self) -> None:
-        """Start with no target ejected."""
+        """Create a table without witnesses and ejections."""
         self.unlogged: list[Ejection] = []
         self._records: dict[int, _Record] = {}
 
@@ -105,13 +105,13 @@
             return False
         record = self._records.setdefault(item.cookie, _Record())
         recent = {
-            vm: seen_ms
-            for vm, seen_ms in record.seen_ms.items()
-            if now_ms - seen_ms <= WITNESS_WINDOW_MS
+            vm: witnessed_ms
+            for vm, witnessed_ms in record.witnessed_ms.items()
+            if now_ms - witnessed_ms <= WITNESS_WINDOW_MS
         }
         new = item.vm not in recent and len(recent) < MIN_WITNESSES
         recent[item.vm] = max(at_ms, recent.get(item.vm, at_ms))
-        record.seen_ms = recent
+        record.witnessed_ms = recent
         if at_ms >= record.until_ms and len(recent) >= self._needed(at_ms, record):
             self._eject(now_ms, item.cookie, record, fraction)
         return new
@@ -158,8 +158,8 @@
         )
         lasts_ms = int(record.lasts_ms * (1 + JITTER * fraction))
         record.until_ms = now_ms + lasts_ms
-        self.unlogged.append(Ejection(cookie, len(record.seen_ms), lasts_ms))
+        self.unlogged.append(Ejection(cookie, len(record.witnessed_ms), lasts_ms))
 
     def _is_expired(self, now_ms: int, record: _Record) -> bool:
-        last_ms = max(record.until_ms, max(record.seen_ms.values(), default=0))
+        last_ms = max(record.until_ms, max(record.witnessed_ms.values(), default=0))
         return now_ms - last_ms >= PROBATION_MS
--- a/eelgrasswick/decisions/health.py
+++ b/eelgrasswick/decisions/health.py
@@ -29,7 +29,7 @@
     """Counts of unanswered opening packets by target."""
 
     def __init__(self) -> None:
-        """Start with every target healthy."""
+        """Create a tracker in which every target is healthy."""
         self._records: dict[str, _Record] = {}
 
     def answered(self, name: str) -> bool:
--- a/eelgrasswick/decisions/overload.py
+++ b/eelgrasswick/decisions/overload.py
@@ -1,7 +1,7 @@
 """Load shedding: the share of new flows to refuse while answers are late.
 
-Load pattern: for a while callers ask for more than the targets can do, as when many
-come at once or a zone is cut off with too few targets. Every queue fills, so that
+Load pattern: for a while callers send more requests than the targets can serve, as when
+many come at once or a zone is cut off with too few targets. Every queue fills, so that
 nearly every answer is late, and retries keep the queues full although all slots work.
 Callers are served better if some flows are refused at once and the others are answered
 in time.
@@ -27,8 +27,8 @@
 # Least weight of a new answer. Without it, answers that come together would have no
 # weight.
 MIN_WEIGHT: typing.Final = 0.2
-# Ratios above this one are capped. How late an answer is says how long the queue was,
-# and that is known already.
+# Ratios above this one are capped. The lateness of an answer measures only how long the
+# queue was, and that is known already.
 MAX_RATIO: typing.Final = 2.0
 # Share of the time between the usual answer time and the objective that the queue may
 # take. With less, slots would idle when several short requests come in a row.
@@ -38,7 +38,7 @@
 INITIAL_USUAL_RATIO: typing.Final = 0.2
 # Gains of the controller: by how much of the excess the refused share rises in one
 # control interval, and by how much of the change of the excess it rises at once. The
-# integral term finds the share, and the proportional term damps its oscillation.
+# integral term converges to the share, and the proportional term damps its oscillation.
 CONTROL_INTERVAL_MS: typing.Final = 100
 INTEGRAL_GAIN: typing.Final = 0.1
 PROPORTIONAL_GAIN: typing.Final = 0.5
@@ -61,11 +61,12 @@
 USUAL_LATE_SHARE: typing.Final = 0.1
 # Factor by which the lowest ratio rises with each further answer.
 MIN_RATIO_RISE: typing.Final = 1.005
-# Most bytes that a first acknowledgement covers, two full packets. One that covers more
-# follows another that was lost; measured by its length all others would look short.
+# Most bytes that a first acknowledgement covers, two full packets. An acknowledgement
+# that covers more follows another one that was lost. Compared with its length, all other
+# answers would look short.
 MAX_FIRST_ACK_BYTES: typing.Final = 2400
-# Answers shorter than this share of the longest ones are refusals. The remembered
-# length decays by the second factor with each answer.
+# Answers shorter than this share of the longest ones are treated as refusals. The
+# recorded length decays by the second factor with each answer.
 REFUSAL_LENGTH_SHARE: typing.Final = 0.25
 LENGTH_DECAY: typing.Final = 0.999
 # A priority level counts while it has this share of a service's new flows, in the
@@ -187,7 +188,7 @@
     """
 
     def __init__(self, enabled: bool = True) -> None:
-        """Start without overload.
+        """Create a shedder in which no pool is overloaded.
 
         Args:
             enabled: False to refuse nothing.
--- a/eelgrasswick/decisions/placement.py
+++ b/eelgrasswick/decisions/placement.py
@@ -50,7 +50,7 @@
     """A policy for new flows; it uses no clock, network or randomness.
 
     Attributes:
-        learns: False for a policy that uses the configured weights only: no learned
+        learns: False for a policy that uses the configured weights only: no measured
             strength, no ramp and no concurrency limit.
     """
 
--- a/eelgrasswick/decisions/ramp.py
+++ b/eelgrasswick/decisions/ramp.py
@@ -6,8 +6,8 @@
 the healthy targets must carry the rest, so the ramp starts above zero.
 
 ``START_FACTOR`` is the speed of a cold target relative to a warm one, and
-``RAMP_DURATION_MS`` is the time that a target needs to warm up. A shorter ramp hands
-out work while the target is still slow.
+``RAMP_DURATION_MS`` is the time that a target needs to warm up. With a shorter ramp the
+target would get work while it is still slow.
 """
 
 import typing
--- a/eelgrasswick/decisions/selector.py
+++ b/eelgrasswick/decisions/selector.py
@@ -1,8 +1,8 @@
 """Selection of the target of a new flow.
 
 The selector collects the inputs of the decisions in ``choice`` from the configuration,
-the health and load of targets and the view of the fleet. It answers no load pattern of
-its own.
+the health and load of targets and the view of the fleet. It addresses no load pattern
+itself.
 """
 
 import typing
@@ -62,7 +62,7 @@
         self,
         now_ms: int,
         key: packet.FlowKey,
-        owner: service.Service,
+        flow_service: service.Service,
         excluded: frozenset[str],
     ) -> choice.Choice:
         """Choose a target for a new flow."""
@@ -71,11 +71,13 @@
         if key.protocol == packet.Protocol.UDP:
             # A datagram can be repeated and reach two homes, as on the two sides of a
             # cut. Both homes must choose the same target, or the datagram's request
-            # would run twice. So nothing that a single VM observes is used, neither
-            # load nor reachability.
-            return choice.Choice(current.locate(key, owner).default, False)
+            # would run twice. Therefore nothing that a single VM observes is used,
+            # neither load nor reachability.
+            return choice.Choice(current.locate(key, flow_service).default, False)
         ranked = [
-            item for item in current.ranked(key, owner) if item.name not in excluded
+            item
+            for item in current.ranked(key, flow_service)
+            if item.name not in excluded
         ]
         ranked = self._reachable(ranked, current)
         suspected = [self._tables.health.suspected(now_ms, i.name) for i in ranked]
@@ -90,9 +92,9 @@
     ) -> list[target.Target]:
         # A zone whose entry VMs are all unreachable is cut off or gone, and its targets
         # with it. Flows that are sent there would hang until the zone is reachable
-        # again. Its targets are excluded before the panic threshold is applied: a small
-        # zone that is cut off finds most targets dead, and would otherwise send flows
-        # to all of them.
+        # again. Its targets are excluded before the panic threshold is applied: a VM of
+        # a small zone that is cut off suspects most targets, and would otherwise send
+        # flows to all of them.
         peers = self._tables.peers
         reachable = [
             item
@@ -112,8 +114,8 @@
         current = self._tables.epochs.current
         if current is None:
             return
-        for owner in current.config.services.values():
-            self.chooser.strength.tick(now_ms, owner.targets)
+        for flow_service in current.config.services.values():
+            self.chooser.strength.tick(now_ms, flow_service.targets)
         targets = current.config.targets
         names = [name for name, item in targets.items() if item.accepts]
         self.chooser.ramp.update_targets(now_ms, names)
--- a/eelgrasswick/decisions/shift.py
+++ b/eelgrasswick/decisions/shift.py
@@ -58,7 +58,7 @@
 def approach(current: float, wanted: float, elapsed_ms: int) -> float:
     """Return the next value of a figure that follows another at a limited speed.
 
-    If a learned strength changed at once, all work of a target would move at once,
+    If a measured strength changed at once, all work of a target would move at once,
     while the figures that follow from it are seconds late.
 
     Args:
--- a/eelgrasswick/decisions/waiting.py
+++ b/eelgrasswick/decisions/waiting.py
@@ -144,7 +144,7 @@
         reservation_ms = max(self._last_reserved_ms + step_ms, earliest_ms)
         reserved_ms = self._reservations.get(caller, ())
         # Without this limit one caller with many flows would get nearly all
-        # reservations, and callers who ask for one flow would wait behind it.
+        # reservations, and callers who open one flow would wait behind it.
         fair = len(reserved_ms) < RESERVATIONS_PER_CALLER
         known = bool(reserved_ms) or len(self._reservations) < MAX_RESERVING_CALLERS
         if reservation_ms > now_ms + MAX_RETRY_MS or not (fair and known):
--- a/eelgrasswick/fleet/contact.py
+++ b/eelgrasswick/fleet/contact.py
@@ -16,7 +16,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without an Ack from any peer."""
+        """Create the condition of a VM without an Ack from any peer."""
         self._started_ms: int | None = None
         self._acked = False
         self._last_stale_number = 0
--- a/eelgrasswick/fleet/gossip.py
+++ b/eelgrasswick/fleet/gossip.py
@@ -17,11 +17,11 @@
     """
 
     def __init__(self) -> None:
-        """Start without updates."""
+        """Create a selection without updates."""
         self._sent: collections.Counter[str] = collections.Counter()
 
     def add(self, name: str) -> None:
-        """Start to disseminate the state of a VM, or start again."""
+        """Start or restart the dissemination of the state of a VM."""
         self._sent[name] = 0
 
     def discard(self, name: str) -> None:
--- a/eelgrasswick/fleet/keeper.py
+++ b/eelgrasswick/fleet/keeper.py
@@ -41,7 +41,7 @@
     """
 
     def __init__(self, name: str, peers: peer.Peers, outbox: message.Outbox) -> None:
-        """Start without a configuration in force."""
+        """Create the state of a VM without a configuration in force."""
         self._name = name
         self._peers = peers
         self._outbox = outbox
@@ -220,8 +220,8 @@
 
 def _watch_order(zone: typing.Sequence[member.Member]) -> list[str]:
     # Joining VMs are candidates as well. If only serving VMs were, each VM of a
-    # fleet that starts at the same time would find itself the only candidate, and
-    # all of them would watch.
+    # fleet that starts at the same time would have itself as the only candidate,
+    # and all of them would watch.
     eligible = [item for item in zone if item.state in _WATCH_CANDIDATE_STATES]
     present = eligible or [item for item in zone if not item.gone]
     candidates = [rendezvous.candidate(item.name, 1.0) for item in present]
--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -56,7 +56,7 @@
         outbox: message.Outbox,
         rng: random.Random,
     ) -> None:
-        """Start as a joining VM.
+        """Create the membership of a joining VM.
 
         Args:
             me: This VM, in state JOINING.
@@ -104,7 +104,7 @@
         self._candidates.update_listing(members)
 
     def leave(self, now_ms: int) -> None:
-        """Start to leave; the VM gives up its homes and forwards for a while."""
+        """Begin to leave: the VM stops being a home, and forwards for a while."""
         if self._leaving_since_ms is None:
             self._leaving_since_ms = now_ms
             self._set_state(member.MemberState.LEAVING)
--- a/eelgrasswick/fleet/probe.py
+++ b/eelgrasswick/fleet/probe.py
@@ -50,7 +50,7 @@
     """Numbers heartbeats and matches Acks to them."""
 
     def __init__(self) -> None:
-        """Start without outstanding heartbeats."""
+        """Create a registry without outstanding heartbeats."""
         self.last_number = 0
         self._pending: dict[int, _PendingAck] = {}
         self._relayed: dict[int, Relayed] = {}
--- a/eelgrasswick/fleet/turn.py
+++ b/eelgrasswick/fleet/turn.py
@@ -13,7 +13,7 @@
     """
 
     def __init__(self, rng: random.Random) -> None:
-        """Start without a round; ``rng`` shuffles each one."""
+        """Create a selection without a round; ``rng`` shuffles each round."""
         self._rng = rng
         self._remaining: list[str] = []
 
--- a/eelgrasswick/fleet/unheard.py
+++ b/eelgrasswick/fleet/unheard.py
@@ -20,7 +20,7 @@
     """Seeds, VMs that the platform lists, and VMs that are gone."""
 
     def __init__(self, seeds: typing.Iterable[packet.Address]) -> None:
-        """Start with the seed addresses from the settings."""
+        """Create candidates from the seed addresses of the settings."""
         self._seeds = tuple(seeds)
         self._listed: tuple[member.Member, ...] = ()
         self._gone_since_ms: dict[str, int] = {}
@@ -61,8 +61,8 @@
 
         VMs are replaced under new names all day long. If gone VMs were kept for
         ever, they would fill the memory and use up the pings that are meant for
-        VMs that come back. A VM that comes back later is found by the platform's
-        listing.
+        VMs that come back. A VM that comes back later is pinged because the
+        platform lists it.
         """
         items = self._gone_since_ms.items()
         return tuple(
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -1,4 +1,4 @@
-"""Explains to operators the state of a flow or a target, as one entry VM sees it.
+"""Explains to operators the state of a flow or a target at one entry VM.
 
 Any VM can compute the default target, home and backup of a flow; only the home
 has the flow's record. A VM therefore responds with the facts that it has and
--- a/eelgrasswick/homes/flow.py
+++ b/eelgrasswick/homes/flow.py
@@ -50,7 +50,7 @@
         target: Target to which the flow's packets are sent.
         origin: How the home determined the target.
         state: State of the flow's connection.
-        opened_ms: When this VM first saw the flow.
+        opened_ms: When this VM created the record.
         last_packet_ms: When this VM last handled a packet of the flow.
         idle_timeout_ms: Time without packets after which the record expires.
         first_packet: The packet that opened the flow, or for a guessed flow the
@@ -84,7 +84,7 @@
         now_ms: int,
         idle_timeout_ms: int,
     ) -> None:
-        """Create the record of a flow that this VM sees for the first time."""
+        """Create the record of a flow at the time of its first packet here."""
         self.target = chosen
         self.origin = origin
         self.state = state
--- a/eelgrasswick/homes/hint.py
+++ b/eelgrasswick/homes/hint.py
@@ -24,7 +24,7 @@
 class HintTable:
     """Stores targets of flows for a limited time, up to a number of flows.
 
-    An entry VM gets them from answers, which come directly from the target and
+    An entry VM gets these targets from answers, which come directly from the target and
     therefore can't be wrong, and from homes. Hints save the detour through the
     home and outlive the home.
     """
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -341,7 +341,7 @@
         key: packet.FlowKey,
         refusal: admission.Refusal | None,
     ) -> None:
-        """Send the caller at once a refusal: nothing of its flow has run."""
+        """Refuse a flow: notify its caller at once that nothing of the flow has run."""
         assert refusal is not None
         outbox = self._tables.outbox
         outbox.count(_COUNT.FLOWS_REFUSED)
--- a/eelgrasswick/homes/pending.py
+++ b/eelgrasswick/homes/pending.py
@@ -37,7 +37,7 @@
     """The queues of waiting flows, one for each service."""
 
     def __init__(self, name: str, shared: tables.Tables) -> None:
-        """Create the queues of the VM ``name``, none at first."""
+        """Create an empty set of queues for the VM ``name``."""
         self._name = name
         self._tables = shared
         self._queues: dict[str, Queue] = {}
--- a/eelgrasswick/homes/rehome.py
+++ b/eelgrasswick/homes/rehome.py
@@ -32,8 +32,8 @@
     def start(self) -> None:
         """Restart with all records and copies, because homes may have changed."""
         records = [key for key, _ in self._tables.flows.items()]
-        kept = [key for key, _ in self._tables.replicator.copies.items()]
-        self._remaining = iter(records + kept)
+        copied = [key for key, _ in self._tables.replicator.copies.items()]
+        self._remaining = iter(records + copied)
 
     def step(self, now_ms: int) -> None:
         """Process the next ``FLOWS_PER_TICK`` flows."""
@@ -46,8 +46,8 @@
     def _rehome(self, now_ms: int, key: packet.FlowKey) -> None:
         shared = self._tables
         record = shared.flows.get(key)
-        kept = shared.replicator.copies.get(now_ms, key)
-        known = record.target if record is not None else kept
+        copied = shared.replicator.copies.get(now_ms, key)
+        known = record.target if record is not None else copied
         current = shared.epochs.current
         if known is None or current is None:
             return
--- a/eelgrasswick/homes/switch.py
+++ b/eelgrasswick/homes/switch.py
@@ -2,8 +2,8 @@
 
 A VM that has a hint of the flow's target sends a caller's packet directly to
 the target; otherwise it forwards the packet to the flow's home. Packets that
-open, end or reset a flow always go through the home, so that one VM sees the
-whole life of a flow. A target's answer goes directly back to the caller, and
+open, end or reset a flow always go through the home, so that one VM handles
+every change of a flow's state. A target's answer goes directly back to the caller, and
 the VM that sends it there stores a hint of the flow's target.
 """
 
