--- a/eelgrasswick/config.py
+++ b/eelgrasswick/config.py
@@ -184,4 +184,4 @@
 
 
 def _by_name(services: dict[str, service.Service]) -> dict[str, target.Target]:
-    return {item.name: item for owner in services.values() for item in owner.targets}
+    return {item.name: item for parent in services.values() for item in parent.targets}
--- a/eelgrasswick/cookie/catalog.py
+++ b/eelgrasswick/cookie/catalog.py
@@ -15,8 +15,8 @@
 
 # An entry that is missing after an outage of the store stays usable for this long.
 # Entries lapse while targets can't renew them, and targets restore them within two
-# seconds. If
-# the VM dropped them at once, it would refuse a whole service until then.
+# seconds. If the VM dropped the lapsed entries at once, it would refuse a whole service
+# until then.
 LAPSED_ENTRY_GRACE_MS: typing.Final = 2000
 # When a VM's rows were older than this, a deletion may be due to an outage of the
 # store. Without an outage the rows are at most two seconds old.
--- a/eelgrasswick/decisions/overload.py
+++ b/eelgrasswick/decisions/overload.py
@@ -62,8 +62,8 @@
 # Factor by which the lowest ratio rises with each further answer.
 MIN_RATIO_RISE: typing.Final = 1.005
 # Most bytes that a first acknowledgement covers, two full packets. An acknowledgement
-# that covers more follows another one that was lost. Compared with its length, all other
-# answers would look short.
+# that covers more follows another one that was lost. Compared with its length, all
+# other answers would look short.
 MAX_FIRST_ACK_BYTES: typing.Final = 2400
 # Answers shorter than this share of the longest ones are treated as refusals. The
 # recorded length decays by the second factor with each answer.
--- a/eelgrasswick/platform/answers.py
+++ b/eelgrasswick/platform/answers.py
@@ -33,7 +33,7 @@
     """
 
     def __init__(self) -> None:
-        """Start with the query of the first page."""
+        """Create a listing without rows, with the query of the first page."""
         self.query: dict[str, str] | None = {"prefix": ""}
         self._rows: list[source.Row] = []
         self._revision = 0
--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -3,10 +3,10 @@
 The import takes 0.2 s of a core, and more on a small one. After a power loss of all VMs
 no VM would serve callers in that time, and requests with deadlines below a second would
 be late or lost. The modules that decide about packets need none of these libraries, so
-they are imported first. Then the store is asked for all rows, and the libraries are
-imported one by one; after each import the packets that arrived during it are forwarded.
-A VM that starts while others serve asks one of them first, which saves the store a
-listing and also returns the other VMs.
+they are imported first. Then the VM requests all rows from the store, and the libraries
+are imported one by one; after each import the packets that arrived during it are
+forwarded. A VM that starts while others serve requests the rows from one of them first,
+which saves the store a listing and also provides the addresses of the other VMs.
 
 An import in a thread would forward packets sooner, but the threads of a VM may
 alternate in turns of a tenth of a second.
@@ -149,16 +149,16 @@
                 self._give_up(f"{type(error).__name__}: {error}")
                 return
             if changes is not None:
-                self._merge(changes, self._reader.asked_ms)
+                self._merge(changes, self._reader.requested_ms)
                 self._close_reader()
             elif wait_s <= 0 and self._reader.progress_s == before_s:
                 return
 
-    def _merge(self, changes: source.Changes, asked_ms: int) -> None:
+    def _merge(self, changes: source.Changes, requested_ms: int) -> None:
         replica = self._carrier.parts.replica
         now_ms = clock.now_ms()
         self._carrier.apply_rows(now_ms, replica.merge(now_ms, changes), _ORIGIN)
-        replica.confirm(changes.revision, asked_ms)
+        replica.confirm(changes.revision, requested_ms)
 
     def _give_up(self, detail: str) -> None:
         self._carrier.parts.log.write("early_read_failed", detail=detail)
--- a/eelgrasswick/platform/listing.py
+++ b/eelgrasswick/platform/listing.py
@@ -23,13 +23,14 @@
     """A listing in progress.
 
     Attributes:
-        asked_ms: When the listing was requested; the age of its rows counts from then.
+        requested_ms: When the listing was requested; the age of its rows counts from
+            then.
         progress_s: When it last made progress, in monotonic seconds.
     """
 
     def __init__(self, store: model.Address) -> None:
-        """Start to connect to the store."""
-        self.asked_ms = clock.now_ms()
+        """Create a listing, and start to connect to the store."""
+        self.requested_ms = clock.now_ms()
         self.progress_s = time.monotonic()
         self._host = f"{store.host}:{store.port}"
         self._listing = answers.Listing()
--- a/eelgrasswick/platform/segments.py
+++ b/eelgrasswick/platform/segments.py
@@ -9,8 +9,8 @@
 _HEADER: typing.Final = struct.Struct(
     ">H"  # len: bytes of data after the header
     "I"  # seq
-    "I"  # ack; on a SYN the number of earlier copies of it
-    "I"  # echo: the cookie, which both ends echo
+    "I"  # ack; on a SYN the number of earlier transmissions
+    "I"  # echo: the cookie, which both ends return
     "4x"  # sum: keyed checksum over all but the cookie; VMs lack its key
     "4s"  # dst: service address
     "H"  # sport: the caller's port
@@ -66,7 +66,7 @@
         return datagram[:_COOKIE_OFFSET] + _COOKIE.pack(cookie) + datagram[end:]
 
     def for_target(self, datagram: bytes, target: model.Target) -> bytes:
-        """Return the datagram behind the target's token; see the base class."""
+        """Return the target's token and the datagram; see the base class."""
         return target.token + datagram
 
     def reset(self, flow: model.FlowId, acknowledged: int) -> bytes:
--- a/eelgrasswick/platform/settings_file.py
+++ b/eelgrasswick/platform/settings_file.py
@@ -14,7 +14,7 @@
     """
 
     def __init__(self, path: pathlib.Path) -> None:
-        """Read the file at a path.
+        """Create the settings file of a path, and read it.
 
         Raises:
             errors.SettingsInvalidError: The file can't be used.
--- a/tests/cookie_parts.py
+++ b/tests/cookie_parts.py
@@ -74,9 +74,9 @@
 
 def catalog_from(*rows: source.Row, now_ms: int = 0) -> catalog.Catalog:
     """Return a catalog that was updated from some rows."""
-    made = catalog.Catalog(entries.Reader())
-    made.update(now_ms, store_replica.Merge(rows, 0))
-    return made
+    target_catalog = catalog.Catalog(entries.Reader())
+    target_catalog.update(now_ms, store_replica.Merge(rows, 0))
+    return target_catalog
 
 
 def packet(
--- a/tests/entry_parts.py
+++ b/tests/entry_parts.py
@@ -137,11 +137,13 @@
 
     def get(self, key: str, path: str) -> bytes:
         """Return the response to a GET at one of its addresses, with headers."""
-        with socket.create_connection((self.host, DATA_PORT + _OFFSETS[key])) as made:
-            made.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-            made.setblocking(False)
+        with socket.create_connection(
+            (self.host, DATA_PORT + _OFFSETS[key])
+        ) as connection:
+            connection.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+            connection.setblocking(False)
             got = bytearray()
-            turning.until(lambda: _received(made, got), "an HTTP response")
+            turning.until(lambda: _received(connection, got), "an HTTP response")
             return bytes(got)
 
     def ready(self) -> bool:
@@ -155,9 +157,9 @@
         os.close(self._read)
 
 
-def _received(made: socket.socket, got: bytearray) -> bool:
+def _received(connection: socket.socket, got: bytearray) -> bool:
     try:
-        got += made.recv(65536)
+        got += connection.recv(65536)
     except BlockingIOError:
         return False
     return b"\r\n\r\n" in got
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -117,12 +117,14 @@
 
 
 def test_not_ready_without_targets() -> None:
-    made = catalog.Catalog(entries.Reader())
-    assert not made.ready
-    made.update(0, store_replica.Merge((cookie_parts.config_row(1),), 0))
-    assert not made.ready
-    made.update(0, store_replica.Merge((cookie_parts.target_row("i-0a", 2),), 0))
-    assert made.ready
+    target_catalog = catalog.Catalog(entries.Reader())
+    assert not target_catalog.ready
+    target_catalog.update(0, store_replica.Merge((cookie_parts.config_row(1),), 0))
+    assert not target_catalog.ready
+    target_catalog.update(
+        0, store_replica.Merge((cookie_parts.target_row("i-0a", 2),), 0)
+    )
+    assert target_catalog.ready
 
 
 def test_target_whose_address_another_took_over_ends(
@@ -169,14 +171,14 @@
 def test_address_takeover_is_detected_when_the_config_is_the_last_row() -> None:
     """Guards against a starting VM that depends on the order of the rows it gets."""
     ended: list[str] = []
-    made = catalog.Catalog(entries.Reader())
-    made.on_ended = lambda target: ended.append(target.name)
+    target_catalog = catalog.Catalog(entries.Reader())
+    target_catalog.on_ended = lambda target: ended.append(target.name)
     rows = (
         cookie_parts.target_row("i-0a", 2),
         cookie_parts.target_row("i-0c", 9, born=9000, address="10.128.0.10:8080"),
         cookie_parts.config_row(1),
     )
-    made.update(0, store_replica.Merge(rows, 0))
+    target_catalog.update(0, store_replica.Merge(rows, 0))
     assert ended == ["i-0a"]
 
 
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -20,9 +20,9 @@
     return "\n".join(lines) + "\n"
 
 
-def accepted(made: world.World) -> config.Document:
+def accepted(fleet_world: world.World) -> config.Document:
     """Return the document that the store holds."""
-    return config.decode(made.platform.rows(store.RULES_KEY)[0].value)
+    return config.decode(fleet_world.platform.rows(store.RULES_KEY)[0].value)
 
 
 @pytest.fixture
@@ -65,11 +65,11 @@
     assert config.Config(accepted(empty_world)).targets["d1"].accepts
 
 
-def submit(made: world.World, text: str, author: str) -> change.Result:
+def submit(fleet_world: world.World, text: str, author: str) -> change.Result:
     """Plan and submit rules in one step."""
-    operator = change.Operator(made.platform, author)
-    plan = made.wait(operator.plan(text, made.now_ms))
-    result: change.Result = made.wait(operator.submit(plan))
+    operator = change.Operator(fleet_world.platform, author)
+    plan = fleet_world.wait(operator.plan(text, fleet_world.now_ms))
+    result: change.Result = fleet_world.wait(operator.submit(plan))
     return result
 
 
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -22,12 +22,12 @@
 
 def _vms(count: int) -> list[cold_start.ColdStart]:
     names = [f"10.0.0.{number}" for number in range(count)]
-    made = [cold_start.ColdStart(name) for name in names]
-    for name, item in zip(names, made, strict=True):
+    limiters = [cold_start.ColdStart(name) for name in names]
+    for name, item in zip(names, limiters, strict=True):
         item.update_fleet(
             0, tuple(other for other in names if other != name), count - 1
         )
-    return made
+    return limiters
 
 
 def _most(times_ms: list[int]) -> int:
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Tests of the concurrency limit that a home learns for each target."""
+"""Tests of the concurrency limit that a home derives for each target."""
 
 import random
 
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -55,7 +55,7 @@
     """A server that answers one connection in a thread."""
 
     def __init__(self) -> None:
-        """Start to listen."""
+        """Create a server that listens."""
         self._socket = socket.create_server((HOST, 0))
         self._thread = threading.Thread(target=self._run)
         self._thread.start()
@@ -84,7 +84,7 @@
     """A store that answers two calls with one page each, the configuration first."""
 
     def __init__(self, *rows: source.Row) -> None:
-        """Answer with the given rows."""
+        """Create a store that answers with the given rows."""
         self.requests: list[str] = []
         self._items = [_item(row) for row in rows]
         super().__init__()
@@ -138,7 +138,7 @@
     log: tuple[int, int],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against packets that nobody reads until the libraries are imported.
+    """Guards against packets that are not read until the libraries are imported.
 
     All VMs lose power, and callers' packets arrive while they start again. On a small
     VM the imports take longer than many deadlines.
@@ -190,7 +190,7 @@
     """A store whose link is full, so that its only page arrives in parts."""
 
     def __init__(self, pause_s: float, *rows: source.Row) -> None:
-        """Answer with the given rows, one part after each pause."""
+        """Create a store that sends the rows in parts, one after each pause."""
         self._pause_s = pause_s
         self._items = [_item(row) for row in rows]
         super().__init__()
@@ -208,7 +208,7 @@
     """A server that answers the first request with prepared bytes."""
 
     def __init__(self, raw: bytes) -> None:
-        """Answer with the given bytes."""
+        """Create a server that answers with the given bytes."""
         self._raw = raw
         super().__init__()
 
@@ -221,7 +221,7 @@
     """Stand-in of another VM that answers a VM that lacks rows."""
 
     def __init__(self, *strings: bytes) -> None:
-        """Answer with the given strings, each behind its length."""
+        """Create a stand-in that sends strings, each after its length."""
         super().__init__(
             b"".join(struct.pack(">I", len(item)) + item for item in strings)
         )
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -127,7 +127,7 @@
 def test_records_of_removed_and_expired_targets_are_deleted(
     outliers: ejection.OutlierEjection,
 ) -> None:
-    """Guards against a table that grows with every target there ever was."""
+    """Guards against a table that grows with every target that ever existed."""
     for vm in range(ejection.MIN_WITNESSES):
         _add_witness(outliers, vm)
     outliers.retain(START_MS, (COOKIE,))
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -42,10 +42,10 @@
 
 @pytest.fixture
 def server() -> typing.Iterator[socket.socket]:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as made:
-        made.bind((entry_parts.host(9), 0))
-        made.setblocking(False)
-        yield made
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+        sender.bind((entry_parts.host(9), 0))
+        sender.setblocking(False)
+        yield sender
 
 
 @pytest.fixture
@@ -77,8 +77,8 @@
 
 
 def _send(vm: entry_parts.RunningVm, datagram: bytes) -> None:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as made:
-        made.sendto(datagram, (vm.host, entry_parts.DATA_PORT))
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+        sender.sendto(datagram, (vm.host, entry_parts.DATA_PORT))
 
 
 def test_opening_packet_reaches_a_target_and_is_logged(
@@ -175,9 +175,9 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as waiting:
         waiting.bind((entry_parts.host(1), entry_parts.DATA_PORT))
         waiting.setblocking(False)
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as made:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             raw = cookie_parts.packet(cookie_parts.SYN)
-            made.sendto(raw, (entry_parts.host(1), entry_parts.DATA_PORT))
+            sender.sendto(raw, (entry_parts.host(1), entry_parts.DATA_PORT))
         start(entry_parts.host(1), store, waiting=waiting)
         assert _await_datagram(server)
 
@@ -195,8 +195,8 @@
         waiting.setblocking(False)
         for copy, port in ((1, 40_001), (steering.LAST_RETRANSMISSION, 40_002)):
             raw = cookie_parts.packet(cookie_parts.SYN, port, acknowledged=copy)
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as made:
-                made.sendto(raw, (entry_parts.host(1), entry_parts.DATA_PORT))
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+                sender.sendto(raw, (entry_parts.host(1), entry_parts.DATA_PORT))
         vm = start(entry_parts.host(1), store, waiting=waiting, waited_ms=1000)
         received = _await_datagram(server)
     # The last copy was sent because no earlier copy was answered, and no further copy
--- a/tests/test_epoch_share.py
+++ b/tests/test_epoch_share.py
@@ -31,5 +31,5 @@
 
 
 def test_vm_without_serving_peers_has_fraction_1() -> None:
-    """A VM that sees no serving VM must not refuse all flows."""
+    """A VM without any record of a serving VM must not refuse all flows."""
     assert epoch_of().share("vm0") == 1.0
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -33,7 +33,7 @@
 def test_evacuated_zone_takes_no_new_flow(
     vm_steering: steering.Steering, target_catalog: catalog.Catalog
 ) -> None:
-    """Guards against new flows on targets that are about to lose their zone."""
+    """Guards against new flows on targets of a zone that operators have evacuated."""
     _update(target_catalog, _order(9))
     for port in range(41_000, 41_030):
         assert steering_parts.opened(vm_steering, 20, port=port).zone == "z2"
@@ -170,13 +170,13 @@
 
 def test_vm_that_starts_during_an_evacuation_applies_it() -> None:
     """Guards against a starting VM that ignores the evacuation among all rows."""
-    made = cookie_parts.catalog_from(
+    target_catalog = cookie_parts.catalog_from(
         _order(1),
         cookie_parts.target_row("i-0a", 2),
         cookie_parts.target_row("i-0b", 3, zone="z2"),
         cookie_parts.config_row(4),
     )
-    assert _names(made) == {"i-0b"}
+    assert _names(target_catalog) == {"i-0b"}
 
 
 def test_listing_without_the_order_ends_it() -> None:
@@ -186,11 +186,11 @@
     """
     rows = (cookie_parts.config_row(1), cookie_parts.target_row("i-0a", 2))
     replica = store_replica.StoreReplica()
-    made = catalog.Catalog(entries.Reader())
-    made.update(0, replica.merge(0, cookie_parts.listing(*rows, _order(3))))
-    assert _names(made) == set()
-    made.update(5000, replica.merge(5000, source.Changes(rows, 8, 0)))
-    assert _names(made) == {"i-0a"}
+    target_catalog = catalog.Catalog(entries.Reader())
+    target_catalog.update(0, replica.merge(0, cookie_parts.listing(*rows, _order(3))))
+    assert _names(target_catalog) == set()
+    target_catalog.update(5000, replica.merge(5000, source.Changes(rows, 8, 0)))
+    assert _names(target_catalog) == {"i-0a"}
 
 
 def test_order_received_from_another_vm_is_disseminated() -> None:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -108,11 +108,11 @@
 
 @pytest.fixture
 def fleet() -> Fleet:
-    made = Fleet(62, 3)
-    made.run(3000)
-    made.write("10.0.0.1", _row("op/config", 1, 60_000))
-    made.run(1500)
-    return made
+    built_fleet = Fleet(62, 3)
+    built_fleet.run(3000)
+    built_fleet.write("10.0.0.1", _row("op/config", 1, 60_000))
+    built_fleet.run(1500)
+    return built_fleet
 
 
 def test_all_vms_find_each_other(fleet: Fleet) -> None:
@@ -171,7 +171,7 @@
 
 
 def test_late_response_does_not_confirm_the_age() -> None:
-    """Guards against a VM that resumes and trusts ages in queued old datagrams."""
+    """Guards against a resumed VM that uses the ages in queued old datagrams."""
     fleet = Fleet(2, 1)
     first, second = fleet.vms.values()
     fleet.write(first.host, _row("a", 1))
--- a/tests/test_history_config.py
+++ b/tests/test_history_config.py
@@ -123,7 +123,7 @@
 
 def test_checker_reports_a_missing_fence(monkeypatch: pytest.MonkeyPatch) -> None:
     # Planted fault: an operator whose response was lost reads the store once, does
-    # not find the change, and reports it as not accepted. The write in transit
+    # not read the change, and reports it as not accepted. The write in transit
     # takes effect later.
     async def skip_fence(_: change.Operator, __: store.Row | None) -> bool:
         return True
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -22,7 +22,7 @@
     """One VM's ``ConfigSync`` without a network around it."""
 
     def __init__(self, text: str) -> None:
-        """Start with sequence 5 in force."""
+        """Create a VM that has sequence 5 in force."""
         self.text = text
         self.outbox = message.Outbox()
         self.peers = peer.Peers(self.outbox)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -39,7 +39,7 @@
     """One VM's ``Membership`` without a network around it."""
 
     def __init__(self, *others: member.Member) -> None:
-        """Start as VM ``me`` that was pinged by other VMs."""
+        """Create the membership of VM ``me``, which other VMs have pinged."""
         self.outbox = message.Outbox()
         me = vm("me", 99, member.MemberState.JOINING)
         peers = peer.Peers(self.outbox)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -68,7 +68,7 @@
 def test_quick_refusals_of_a_full_target_count_as_late(
     shedder: overload.LoadShedder, calm_until_ms: int
 ) -> None:
-    """Guards against treating the quick refusals of a full target as room."""
+    """Guards against treating the quick refusals of a full target as spare room."""
     now_ms = _record_answers(shedder, 0.05, 40, calm_until_ms, refused=True)
     assert shedder.refused_share(now_ms, POOL, FEED) > 0.4
 
@@ -88,7 +88,7 @@
 def test_refused_share_decays_without_answers(
     shedder: overload.LoadShedder, calm_until_ms: int
 ) -> None:
-    """Guards against refusing all flows forever when no answer can show room."""
+    """Guards against refusing all flows forever, which leaves no answer to measure."""
     now_ms = _record_answers(shedder, 1.5, 400, calm_until_ms)
     assert shedder.refused_share(now_ms + 5000, POOL, FEED) < 0.05
 
@@ -124,7 +124,7 @@
 def test_removed_pools_and_routes_are_deleted(
     shedder: overload.LoadShedder, calm_until_ms: int
 ) -> None:
-    """Guards against memory that grows with every route and service there ever was."""
+    """Guards against memory that grows with every route and service ever used."""
     now_ms = _record_answers(shedder, 1.5, 60, calm_until_ms)
     shedder.retain([])
     assert shedder.refused_share(now_ms, POOL, FEED) == 0
--- a/tests/test_overload_play.py
+++ b/tests/test_overload_play.py
@@ -35,7 +35,7 @@
 def test_short_flows_at_80_percent_load_are_served_in_time(seed: int) -> None:
     """Guards against VMs that all send their flows to the same target.
 
-    Callers open a flow for each request, and ask for 0.8 of the capacity of the
+    Callers open a flow for each request, and use 0.8 of the capacity of the
     targets. VMs receive one another's flow counts once a second. With these counts
     alone all VMs send their flows to the target that was emptiest then, until the next
     reports show that it is full, while other targets are idle.
@@ -84,8 +84,8 @@
 ) -> None:
     """Guards against full queues that make most answers late.
 
-    Callers ask for more than the targets can do for as long as the load lasts. Callers
-    who are refused by a full target retry and keep it full.
+    Callers send more requests than the targets can serve for as long as the load lasts.
+    Callers who are refused by a full target retry and keep it full.
     """
     with_refusals = _steady(name)
     request.getfixturevalue("no_load_shedding")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,10 +11,10 @@
 
 @pytest.fixture
 def others() -> peers.Peers:
-    made = peers.Peers("10.0.0.1", "z1", random.Random(1))
+    registry = peers.Peers("10.0.0.1", "z1", random.Random(1))
     for number in range(2, 8):
-        made.record_contact(1, f"10.0.0.{number}", f"z{number % 3 + 1}", True)
-    return made
+        registry.record_contact(1, f"10.0.0.{number}", f"z{number % 3 + 1}", True)
+    return registry
 
 
 def test_vm_that_leaves_two_requests_unanswered_is_dead(others: peers.Peers) -> None:
@@ -31,11 +31,11 @@
     hosts = [f"10.0.0.{number}" for number in range(1, 9)]
     ranks = []
     for host in hosts:
-        made = peers.Peers(host, "z1", random.Random(1))
+        registry = peers.Peers(host, "z1", random.Random(1))
         for other in hosts:
             if other != host:
-                made.record_contact(1, other, "z1", True)
-        ranks.append(made.rank())
+                registry.record_contact(1, other, "z1", True)
+        ranks.append(registry.rank())
     assert sorted(ranks) == list(range(8))
 
 
@@ -92,16 +92,16 @@
 
 def test_live_vms_of_a_large_fleet_do_not_expire() -> None:
     """Guards against expiry of live VMs when a cycle of requests takes too long."""
-    made = peers.Peers("10.0.0.1", "z1", random.Random(1))
+    registry = peers.Peers("10.0.0.1", "z1", random.Random(1))
     hosts = [f"10.1.{number // 250}.{number % 250}" for number in range(400)]
     for host in hosts:
-        made.record_contact(1, host, "z1", True)
+        registry.record_contact(1, host, "z1", True)
     for step in range(1, 1201):
         now_ms = 250 * step
-        for host in made.next_hosts():
-            made.record_contact(now_ms, host, "z1", True)
-        made.expire(now_ms)
-    assert len(made) == 400
+        for host in registry.next_hosts():
+            registry.record_contact(now_ms, host, "z1", True)
+        registry.expire(now_ms)
+    assert len(registry) == 400
 
 
 def test_reports_of_a_third_of_the_vms_are_extrapolated_to_all() -> None:
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -24,7 +24,7 @@
     """A store that answers as a script returns; None stands for no answer."""
 
     def __init__(self, script: Script) -> None:
-        """Answer calls with the results of a script."""
+        """Create a store that answers calls with the results of a script."""
         self.script = script
         self.calls: list[str] = []
         self.connections = 0
--- a/tests/test_store_watch.py
+++ b/tests/test_store_watch.py
@@ -77,9 +77,9 @@
     read, write = os.pipe()
 
     def begin(script: ScriptedStore) -> WatchTask:
-        made = WatchTask(script, write)
-        monkeypatch.setattr(clock, "now_ms", lambda: made.now_ms)
-        return made
+        watch = WatchTask(script, write)
+        monkeypatch.setattr(clock, "now_ms", lambda: watch.now_ms)
+        return watch
 
     yield begin
     os.close(read)
@@ -100,7 +100,7 @@
 
 
 def test_listing_follows_a_watch_whose_history_is_gone(start: Start) -> None:
-    """Guards against targets that left unnoticed while the store lost its history."""
+    """Guards against missed deletions of targets when the store lost its history."""
     gone = errors.HistoryGoneError("410")
     script = ScriptedStore(_listing(5, ROW), gone, _listing(9))
     task = start(script)
--- a/tests/test_strength.py
+++ b/tests/test_strength.py
@@ -1,4 +1,4 @@
-"""Tests of what a home learns of targets from the flows on them."""
+"""Tests of the strengths that a home measures from the flows on its targets."""
 
 import typing
 
--- a/tests/test_tracker.py
+++ b/tests/test_tracker.py
@@ -82,7 +82,7 @@
 def test_request_without_an_answer_is_overdue(flows: tracker.Tracker) -> None:
     """Guards against a crashed server that goes undetected.
 
-    Its machine resets the flows itself, and the VM only sees that a flow is silent.
+    Its machine resets the flows itself, so the VM receives no more packets of them.
     """
     _asked(flows, 10, 1, 100)
     flows.record_segment(40, _segment(acknowledged=2500), 7)
