--- a/eelgrasswick/cookie/bootstrap.py
+++ b/eelgrasswick/cookie/bootstrap.py
@@ -20,8 +20,8 @@
 if typing.TYPE_CHECKING:
     from eelgrasswick.cookie import offer
 
-# Time for other VMs to accept a connection. After all VMs lost power, a starting VM
-# waits for this time in vain, because VMs without power do not refuse connections.
+# Other VMs have this long to accept a connection. After all VMs lost power, a starting
+# VM waits for this time in vain, because VMs without power do not refuse connections.
 CONNECT_TIMEOUT_S: typing.Final = 0.005
 RESPONSE_TIMEOUT_S: typing.Final = 0.1
 # At most this many VMs receive a request for rows, one after the other.
@@ -96,22 +96,24 @@
     poll = select.poll()
     waiting: dict[int, tuple[model.Address, socket.socket]] = {}
     for address in addresses:
-        made = held.enter_context(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
-        made.setblocking(False)
-        made.connect_ex(address)
-        poll.register(made, select.POLLOUT)
-        waiting[made.fileno()] = (address, made)
+        connection = held.enter_context(
+            socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        )
+        connection.setblocking(False)
+        connection.connect_ex(address)
+        poll.register(connection, select.POLLOUT)
+        waiting[connection.fileno()] = (address, connection)
     accepted: dict[model.Address, socket.socket] = {}
     end_s = time.monotonic() + CONNECT_TIMEOUT_S
     while waiting and (left_s := end_s - time.monotonic()) > 0:
         for descriptor, _ in poll.poll(1000 * left_s):
             poll.unregister(descriptor)
-            address, made = waiting.pop(descriptor)
-            fault = made.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            address, connection = waiting.pop(descriptor)
+            fault = connection.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if fault:
                 _log_failure(log, address, OSError(fault, "connect"))
             else:
-                accepted[address] = made
+                accepted[address] = connection
     for address, _ in waiting.values():
         _log_failure(log, address, TimeoutError("connect"))
     return [(item, accepted[item]) for item in addresses if item in accepted]
--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -22,11 +22,11 @@
 )
 from eelgrasswick.decisions import cold_start, overload
 
-# Time that a VM needs after a stall to read the backlog of its socket: 200 KB are
-# 2,000 packets of 100 bytes, at 25 us each.
+# After a stall a VM needs this time to read the backlog of its socket: 200 KB are 2,000
+# packets of 100 bytes, at 25 us each.
 BACKLOG_MS: typing.Final = 50
-# A number above that of any retransmission of an opening packet. As the lowest number
-# that is kept, it makes the VM drop all opening packets of the backlog.
+# This number is above that of any retransmission of an opening packet. As the lowest
+# number that is kept, it makes the VM drop all opening packets of the backlog.
 NO_RETRANSMISSION: typing.Final = 1 << 32
 # Forwarded packets are counted but not logged, because a log line for each packet would
 # slow down forwarding.
--- a/eelgrasswick/cookie/exchange.py
+++ b/eelgrasswick/cookie/exchange.py
@@ -18,8 +18,8 @@
 # A message of this size and its headers fit in one packet on every link.
 MAX_BYTES: typing.Final = 1200
 MAX_ROWS: typing.Final = 40
-# Upper bounds for the encoded size of a message without its rows and its report,
-# and for one entry of a report.
+# These are upper bounds for the encoded size of a message without its rows and its
+# report, and for one entry of a report.
 _FRAME_BYTES: typing.Final = 250
 _ENTRY_BYTES: typing.Final = 12
 # A VM pushes an update at once to this many VMs of its own zone and as many of
@@ -311,7 +311,7 @@
         raise errors.MessageInvalidError(f"changes: {error}") from error
 
 
-# Exceptions that decoding raises for a message with invalid contents.
+# Decoding raises one of these exceptions for a message with invalid contents.
 DECODE_ERRORS: typing.Final = (
     cbor2.CBORDecodeError,
     ValueError,
--- a/eelgrasswick/cookie/model.py
+++ b/eelgrasswick/cookie/model.py
@@ -5,7 +5,7 @@
 import types
 import typing
 
-# Size of the cache of cookies, above the 19,000 targets of the design size, so that
+# The cache of cookies is larger than the 19,000 targets of the design size, so that
 # each incarnation is hashed once.
 _MAX_COOKIES: typing.Final = 32_768
 
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -17,11 +17,10 @@
 )
 from eelgrasswick.decisions import cold_start, ejection, overload, response_time
 
-# Interval at which the records of removed services and routes are deleted. Few are
+# The records of removed services and routes are deleted at this interval. Few are
 # removed a day, and the search walks thousands of targets.
 REMOVAL_INTERVAL_MS: typing.Final = 10_000
-# Interval at which the speeds of all targets are compared. Response times change
-# slowly.
+# The speeds of all targets are compared at this interval. Response times change slowly.
 SPEED_INTERVAL_MS: typing.Final = 1000
 # For this long after a pause of this VM, overdue requests are ignored, because their
 # responses may still be unread in the socket.
--- a/eelgrasswick/cookie/peers.py
+++ b/eelgrasswick/cookie/peers.py
@@ -22,7 +22,7 @@
 # time is never shorter than EXPIRY_CYCLES cycles.
 EXPIRY_MS: typing.Final = 30_000
 EXPIRY_CYCLES: typing.Final = 2
-# Number of members that each message carries.
+# Each message carries this many members.
 SAMPLE_SIZE: typing.Final = 6
 # In each round one of this many VMs with the latest confirmation gets a request.
 # One in four requests of a zone's 20 VMs, 20 a second, then reaches the VM that
@@ -32,8 +32,8 @@
 # number, all VMs of a fleet that starts at once find each other in about three
 # seconds.
 MAX_NEW_HOSTS_PER_ROUND: typing.Final = 4
-# Share of the VMs treated as dead that a cycle includes. A VM that returns usually
-# makes contact earlier, through its own requests.
+# A cycle includes this share of the VMs that are treated as dead. A VM that returns
+# usually makes contact earlier, through its own requests.
 RETRY_SHARE: typing.Final = 0.25
 
 
--- a/eelgrasswick/cookie/placing.py
+++ b/eelgrasswick/cookie/placing.py
@@ -25,15 +25,15 @@
 # should not send flows over a link that may be cut.
 SPILL_FACTOR: typing.Final = 1.5
 SPILL_SLACK: typing.Final = 2.0
-# Assumed fraction of its lifetime for which a flow waits for a response. Callers pause
-# for some hundred milliseconds between the requests of a long flow.
+# A flow is assumed to wait for a response for this fraction of its lifetime. Callers
+# pause for some hundred milliseconds between the requests of a long flow.
 WAITING_SHARE: typing.Final = 0.1
-# Number of targets of the VM's zone, and of the other zones together, that are
-# considered for one flow. Only two of them are compared, and the mean fill of this
+# At most this many targets of the VM's zone, and as many of the other zones together,
+# are considered for one flow. Only two of them are compared, and the mean fill of this
 # many is accurate enough to decide whether the flow leaves the zone. Considering
 # thousands of targets would delay the packets that follow.
 SAMPLE_SIZE: typing.Final = 64
-# Speed of a target that has just started, as a fraction of its usual speed.
+# A target that has just started has this fraction of its usual speed.
 COLD_FACTOR: typing.Final = 0.6
 
 
--- a/eelgrasswick/cookie/probing.py
+++ b/eelgrasswick/cookie/probing.py
@@ -17,7 +17,7 @@
         typing.cast(typing.Any, self.transport).abortConnection()
 
 
-# Interval at which `wait_for_zone_answer` checks for an answer. The refusal of a
+# `wait_for_zone_answer` checks for an answer at this interval. The refusal of a
 # connection arrives within a millisecond, and may come from a cut that refuses
 # connections unless another target of the zone answers.
 WAIT_STEP_MS: typing.Final = 25
--- a/eelgrasswick/cookie/reports.py
+++ b/eelgrasswick/cookie/reports.py
@@ -59,9 +59,10 @@
         # These sums are updated with each report, because summing hundreds of
         # reports for each packet would delay the packets.
         self._flows: collections.Counter[int] = collections.Counter()
-        # Answer times in ms by target cookie and VM.
+        # This table has answer times in ms by target cookie and VM.
         self._answers_ms: dict[int, dict[str, int]] = {}
-        # Time of the latest report that a target is silent, by cookie and VM.
+        # This table has the time of the latest report that a target is silent, by
+        # cookie and VM.
         self._silent_ms: dict[int, dict[str, int]] = {}
 
     def record(self, now_ms: int, host: str, report: Report) -> None:
--- a/eelgrasswick/cookie/speed.py
+++ b/eelgrasswick/cookie/speed.py
@@ -9,12 +9,12 @@
 
 import typing
 
-# Weight of a new sample in the exponentially weighted moving average.
+# A new sample has this weight in the exponentially weighted moving average.
 SMOOTHING: typing.Final = 0.1
 # A mean is used after this many samples, because work times differ by half of their
 # mean.
 MIN_SAMPLES: typing.Final = 8
-# Bounds of a speed factor. They limit what a target can gain or lose by few or late
+# These bounds of a speed factor limit what a target can gain or lose by few or late
 # samples.
 MIN_FACTOR: typing.Final = 0.35
 MAX_FACTOR: typing.Final = 1.6
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -16,8 +16,8 @@
 # sooner was queued together with the first packet, and is no sign that the target
 # left the first packet unanswered.
 MIN_RETRANSMISSION_MS: typing.Final = 120
-# Number of the last retransmission of an opening packet, which callers send 600 ms
-# after the original packet. The original packet has number 0.
+# This is the number of the last retransmission of an opening packet, which callers send
+# 600 ms after the original packet. The original packet has number 0.
 LAST_RETRANSMISSION: typing.Final = 2
 _HIGH_BITS: typing.Final = 2**16
 _NUMBERS: typing.Final = struct.Struct(">III")
--- a/eelgrasswick/cookie/store_replica.py
+++ b/eelgrasswick/cookie/store_replica.py
@@ -1,9 +1,9 @@
 """A VM's copy of the store's rows, with its revision and its age.
 
 Each row carries the store's revision of its last change. A merge keeps the row with
-the higher revision, so the copy never goes back, whichever source sends last. Age is
-recorded apart from revision: a copy that is complete up to a revision may lack later
-changes, so each confirmation carries the time at which it was requested.
+the higher revision, so the copy never reverts to an older row, whichever source sends
+last. Age is recorded apart from revision: a copy that is complete up to a revision may
+lack later changes, so each confirmation carries the time at which it was requested.
 """
 
 import collections
--- a/eelgrasswick/cookie/tracker.py
+++ b/eelgrasswick/cookie/tracker.py
@@ -11,7 +11,7 @@
 
 from eelgrasswick.cookie import model
 
-# Limit of the number of records, each of which takes some hundred bytes.
+# The number of records is limited, because each takes some hundred bytes.
 MAX_FLOWS: typing.Final = 20_000
 # The record of a flow without a packet for this long is deleted, because another VM may
 # forward the flow now. Callers pause for about a second between the requests of a long
@@ -134,12 +134,14 @@
         self._requests_ms: collections.OrderedDict[model.FlowId, int] = (
             collections.OrderedDict()
         )
-        # For each flow whose caller waits for a response, the time when the wait began.
+        # This table has the time when the wait began for each flow whose caller waits
+        # for a response.
         self._waiting_since_ms: collections.OrderedDict[model.FlowId, int] = (
             collections.OrderedDict()
         )
         self._waiting_counts: collections.Counter[int] = collections.Counter()
-        # Last time at which a flow that another VM had opened first arrived here.
+        # This is the last time at which a flow that another VM had opened first arrived
+        # here.
         self._flows_moved_ms = -1
 
     def __len__(self) -> int:
--- a/eelgrasswick/decisions/cold_start.py
+++ b/eelgrasswick/decisions/cold_start.py
@@ -18,9 +18,9 @@
 
 # The limit applies to every time window of this length.
 WINDOW_MS: typing.Final = 1000
-# Share of the limit that is allocated to VMs. The views of VMs differ for some seconds
-# after other VMs joined or left, and during that time two sets of VMs may open flows to
-# one target.
+# Only this share of the limit is allocated to VMs. The views of VMs differ for some
+# seconds after other VMs joined or left, and during that time two sets of VMs may open
+# flows to one target.
 ALLOCATED_SHARE: typing.Final = 0.5
 # A VM that has just started may have opened flows before its restart, and other VMs may
 # not have detected it yet. It opens no flow to a cold target for this time.
--- a/eelgrasswick/decisions/ejection.py
+++ b/eelgrasswick/decisions/ejection.py
@@ -23,8 +23,8 @@
 # Witnesses whose reports are within this time of one another are counted together.
 WITNESS_WINDOW_MS: typing.Final = 1500
 MIN_WITNESSES: typing.Final = 3
-# Lengths of the first and of the longest ejection. A random part of up to half of the
-# length is added.
+# These are the lengths of the first and of the longest ejection. A random part of up to
+# half of the length is added.
 BASE_EJECTION_MS: typing.Final = 2000
 MAX_EJECTION_MS: typing.Final = 4000
 JITTER: typing.Final = 0.5
--- a/eelgrasswick/decisions/overload.py
+++ b/eelgrasswick/decisions/overload.py
@@ -21,24 +21,25 @@
 import math
 import typing
 
-# Time constant of the smoothing of answer times: a third of the time in which a queue
-# that is too long can be worked off.
+# Answer times are smoothed with this time constant, a third of the time in which a
+# queue that is too long can be worked off.
 SMOOTHING_MS: typing.Final = 100
-# Least weight of a new answer. Without it, answers that come together would have no
-# weight.
+# A new answer has at least this weight. Without a minimum, answers that come together
+# would have no weight.
 MIN_WEIGHT: typing.Final = 0.2
 # Ratios above this one are capped. The lateness of an answer measures only how long the
 # queue was, and that is known already.
 MAX_RATIO: typing.Final = 2.0
-# Share of the time between the usual answer time and the objective that the queue may
-# take. With less, slots would idle when several short requests come in a row.
+# The queue may take this share of the time between the usual answer time and the
+# objective. With less, slots would idle when several short requests come in a row.
 QUEUE_SHARE: typing.Final = 0.4
-# Answer time over objective that is assumed to be usual until enough answers were
-# measured.
+# This ratio of answer time to objective is assumed to be usual until enough answers
+# were measured.
 INITIAL_USUAL_RATIO: typing.Final = 0.2
-# Gains of the controller: by how much of the excess the refused share rises in one
-# control interval, and by how much of the change of the excess it rises at once. The
-# integral term converges to the share, and the proportional term damps its oscillation.
+# These are the gains of the controller: by how much of the excess the refused share
+# rises in one control interval, and by how much of the change of the excess it rises at
+# once. The integral term converges to the share, and the proportional term damps its
+# oscillation.
 CONTROL_INTERVAL_MS: typing.Final = 100
 INTEGRAL_GAIN: typing.Final = 0.1
 PROPORTIONAL_GAIN: typing.Final = 0.5
@@ -46,24 +47,24 @@
 # the time constant ``FADE_MS``.
 STALE_MS: typing.Final = 200
 FADE_MS: typing.Final = 500
-# Share of late answers, over some twenty of them, above which an overload begins and
-# below which it ends.
+# The share of late answers is smoothed over some twenty of them. An overload begins
+# above ``BEGIN_LATE_SHARE`` and ends below ``END_LATE_SHARE``.
 LATE_SMOOTHING: typing.Final = 0.05
 BEGIN_LATE_SHARE: typing.Final = 0.5
 END_LATE_SHARE: typing.Final = 0.02
 # Refused shares below this one count as none.
 END_REFUSED_SHARE: typing.Final = 0.02
-# Refused share at the start of an overload; most answers are late by then.
+# This share is refused at the start of an overload; most answers are late by then.
 INITIAL_REFUSED_SHARE: typing.Final = 0.5
-# Smoothing of the usual answer time, and the share of late answers from which on the
-# usual answer time is not updated.
+# The usual answer time is smoothed with this weight. From this share of late answers on
+# it is not updated.
 USUAL_SMOOTHING: typing.Final = 0.02
 USUAL_LATE_SHARE: typing.Final = 0.1
-# Factor by which the lowest ratio rises with each further answer.
+# The lowest ratio rises by this factor with each further answer.
 MIN_RATIO_RISE: typing.Final = 1.005
-# Most bytes that a first acknowledgement covers, two full packets. An acknowledgement
-# that covers more follows another one that was lost. Compared with its length, all
-# other answers would look short.
+# A first acknowledgement covers at most this many bytes, two full packets. An
+# acknowledgement that covers more follows another one that was lost. Compared with its
+# length, all other answers would look short.
 MAX_FIRST_ACK_BYTES: typing.Final = 2400
 # Answers shorter than this share of the longest ones are treated as refusals. The
 # recorded length decays by the second factor with each answer.
@@ -74,7 +75,7 @@
 MIN_LEVEL_SHARE: typing.Final = 0.05
 LEVEL_WINDOW_MS: typing.Final = 5000
 
-# Flows by service and priority.
+# This type has counts of flows by service and priority.
 _Counts = dict[str, collections.Counter[int]]
 
 
--- a/eelgrasswick/decisions/placement.py
+++ b/eelgrasswick/decisions/placement.py
@@ -18,11 +18,11 @@
 
 from eelgrasswick import target
 
-# How far the open flows of a target may exceed its share of them.
+# The open flows of a target may exceed its share of them by this factor.
 OPEN_FACTOR: typing.Final = 1.25
-# Open flows for each slot that are allowed on top of the share.
+# This many open flows for each slot are allowed on top of the share.
 OPEN_PER_SLOT: typing.Final = 3
-# Young flows of the home that are allowed on top of the bound.
+# This many young flows of the home are allowed on top of the bound.
 BUSY_SLACK: typing.Final = 0.5
 
 
--- a/eelgrasswick/decisions/response_time.py
+++ b/eelgrasswick/decisions/response_time.py
@@ -8,8 +8,8 @@
 
 import typing
 
-# Weights of a new sample in the mean and in the deviation, and the number of deviations
-# above the mean that are still usual, as in RFC 6298.
+# These are the weights of a new sample in the mean and in the deviation, and the number
+# of deviations above the mean that are still usual, as in RFC 6298.
 MEAN_WEIGHT: typing.Final = 1 / 8
 DEVIATION_WEIGHT: typing.Final = 1 / 4
 DEVIATIONS: typing.Final = 4
--- a/eelgrasswick/decisions/selector.py
+++ b/eelgrasswick/decisions/selector.py
@@ -22,7 +22,7 @@
     tables,
 )
 
-# How often strengths and ramps are updated.
+# Strengths and ramps are updated at this interval.
 UPDATE_INTERVAL_MS: typing.Final = 500
 
 
--- a/eelgrasswick/decisions/waiting.py
+++ b/eelgrasswick/decisions/waiting.py
@@ -20,7 +20,7 @@
 from eelgrasswick import errors
 from eelgrasswick.decisions import admission
 
-# Share of the rate of placed flows for which reservations are made.
+# Reservations are made for this share of the rate of placed flows.
 RESERVED_RATE_SHARE: typing.Final = 0.5
 MAX_RETRY_MS: typing.Final = 30_000
 # A reservation is dropped this long after its time.
@@ -28,7 +28,7 @@
 MAX_WAITING_FLOWS: typing.Final = 2000
 MAX_RESERVING_CALLERS: typing.Final = 20_000
 RESERVATIONS_PER_CALLER: typing.Final = 4
-# Time constant of the decay of the count of placed flows.
+# The count of placed flows decays with this time constant.
 _RATE_TIME_CONSTANT_MS: typing.Final = 2000
 # Retries without a reservation are spread over this many steps. The stride has no
 # common factor with their number, so that successive refusals get different steps.
--- a/eelgrasswick/fleet/keeper.py
+++ b/eelgrasswick/fleet/keeper.py
@@ -93,9 +93,9 @@
         self, now_ms: int, candidate: config.Config, value: bytes, source: str
     ) -> None:
         if self.current is not None:
-            # A VM that starts has not yet found the VM that reports for its zone.
-            # If each VM reported after its first configuration, the start of a
-            # fleet would cause two calls from every VM.
+            # A VM that starts has no record yet of the VM that reports for its zone. If
+            # each VM reported after its first configuration, the start of a fleet would
+            # cause two calls from every VM.
             self._next_report_ms = min(
                 self._next_report_ms, now_ms + REPORT_AFTER_CHANGE_MS
             )
--- a/eelgrasswick/fleet/membership.py
+++ b/eelgrasswick/fleet/membership.py
@@ -168,7 +168,7 @@
         for name in self._rng.sample(names, min(count, len(names))):
             self._ping_member(self.others[name])
 
-    # Updates about other VMs.
+    # The methods below process updates about other VMs.
 
     def _merge_all(
         self,
@@ -270,7 +270,7 @@
         self.me = mine._replace(incarnation=update.incarnation + 1)
         self._gossip.add(mine.name)
 
-    # State of this VM.
+    # The methods below change the state of this VM.
 
     def _set_state(self, state: member.MemberState) -> None:
         self.me = self.me._replace(state=state, incarnation=self.me.incarnation + 1)
@@ -330,7 +330,7 @@
             if not other.gone:
                 self._ping_member(other)
 
-    # Heartbeats.
+    # The methods below send heartbeats and handle missing Acks.
 
     def _ping_next(self, now_ms: int) -> None:
         present = [item.name for item in self.others.values() if not item.gone]
--- a/eelgrasswick/homes/engine.py
+++ b/eelgrasswick/homes/engine.py
@@ -276,7 +276,8 @@
         current = self.tables.epochs.current
         return current.config.targets.get(name) if current is not None else None
 
-    # Periodic work, and reactions to changes of configuration or membership.
+    # The methods below do periodic work and react to changes of configuration or
+    # membership.
 
     def _tick(self, now_ms: int) -> None:
         self.membership.tick(now_ms, self.keeper.current is not None)
--- a/eelgrasswick/homes/explain.py
+++ b/eelgrasswick/homes/explain.py
@@ -53,12 +53,12 @@
     def __init__(
         self,
         shared: tables.Tables,
-        kept: keeper.ConfigSync,
+        config_sync: keeper.ConfigSync,
         fleet: membership.Membership,
     ) -> None:
         """Create an explainer that reads the parts of an engine."""
         self._tables = shared
-        self._keeper = kept
+        self._config_sync = config_sync
         self._fleet = fleet
 
     def explain(
@@ -79,7 +79,7 @@
         facts = {
             "vm": self._fleet.me.name,
             "state": self._fleet.me.state.name.lower(),
-            "sequence": str(self._keeper.sequence),
+            "sequence": str(self._config_sync.sequence),
         }
         if isinstance(request, wire.ExplainFlowRequest):
             facts.update(self._flow(now_ms, wire.flow_key(request.flow)))
--- a/eelgrasswick/homes/guess.py
+++ b/eelgrasswick/homes/guess.py
@@ -121,7 +121,7 @@
         names = [name for name in found if name in present]
         return [present[name] for name in names[:MAX_CANDIDATES]]
 
-    # The first datagrams of UDP flows.
+    # The methods below handle the first datagrams of UDP flows.
 
     def all_owners_reachable(
         self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
--- a/eelgrasswick/homes/home.py
+++ b/eelgrasswick/homes/home.py
@@ -150,7 +150,7 @@
         self._delegated.expire(now_ms)
         self._opener.tick(now_ms)
 
-    # Packets from callers.
+    # The methods below handle packets from callers.
 
     def _continue(self, arrival: _Arrival, record: flow.Record) -> None:
         item = arrival.item
@@ -276,7 +276,7 @@
         self._opener.replicate(key, flow_service, known)
         return record
 
-    # Packets from targets.
+    # The methods below handle packets from targets.
 
     def _answer_unrecorded(self, arrival: _Arrival, sender: target.Target) -> None:
         if arrival.item.resets:
@@ -352,7 +352,7 @@
             record.target_finished = True
             self._close_if_done(arrival, record)
 
-    # The ends of flows.
+    # The methods below close flows.
 
     def _close_if_done(self, arrival: _Arrival, record: flow.Record) -> None:
         if record.caller_finished and record.target_finished:
--- a/eelgrasswick/message.py
+++ b/eelgrasswick/message.py
@@ -182,7 +182,7 @@
     """The VM has left the fleet, and its process may end."""
 
 
-# Actions that the task with the store connection executes.
+# The task with the store connection executes these actions.
 StoreAction = WatchStore | ReportInForce | RepairStore | RecordTargetEmpty
 
 Action = (
--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -34,14 +34,15 @@
 if typing.TYPE_CHECKING:
     from eelgrasswick.cookie import peers
 
-# How long the start waits for the store before the libraries are imported: while no
-# bytes arrive, and in total. A store that answers at once has sent all rows by then.
+# These times limit how long the start waits for the store before the libraries are
+# imported: while no bytes arrive, and in total. A store that answers at once has sent
+# all rows by then.
 FIRST_IDLE_S: typing.Final = 0.03
 FIRST_READ_S: typing.Final = 0.1
 # When no bytes arrive for this time and all libraries are imported, the start continues
 # without the store, and the VM receives the rows from other VMs.
 STALL_S: typing.Final = 0.5
-# Libraries in an order in which none imports many modules besides itself.
+# The order of these libraries is one in which none imports many modules besides itself.
 LIBRARIES: typing.Final = (
     "random",
     "asyncio",
@@ -63,8 +64,8 @@
 )
 # A listing that makes progress may take this many times as long as ``STALL_S``.
 MAX_STALLS: typing.Final = 4
-# Most packets that are forwarded between two imports. Without this limit a flood of
-# packets would delay the start.
+# At most this many packets are forwarded between two imports. Without this limit a
+# flood of packets would delay the start.
 MAX_PACKETS_PER_IMPORT: typing.Final = 500
 _CHUNK_BYTES: typing.Final = 65_536
 _ORIGIN: typing.Final = "store"
--- a/eelgrasswick/platform/program.py
+++ b/eelgrasswick/platform/program.py
@@ -12,8 +12,8 @@
 from eelgrasswick.cookie import carrying, entry, peers
 from eelgrasswick.platform import names, settings_file, store
 
-# How often the settings file is checked for changes. It may change without a signal to
-# the process.
+# The settings file is checked for changes at this interval. It may change without a
+# signal to the process.
 SETTINGS_POLL_S: typing.Final = 1.0
 
 
