--- a/eelgrasswick/platform/__main__.py
+++ b/eelgrasswick/platform/__main__.py
@@ -1,8 +1,8 @@
 """Starts the program that runs on the users' platform.
 
 The socket for callers' packets is bound first of all. After a power loss of all VMs the
-routers send packets at once, and packets without a bound socket are lost. Their callers
-would wait for a retransmission after 0.6 s or more, beyond many deadlines.
+routers send packets at once, and packets that arrive before the binding are lost. Their
+callers would wait for a retransmission after 0.6 s or more, beyond many deadlines.
 """
 
 import importlib
