--- a/eelgrasswick/cookie/carrying.py
+++ b/eelgrasswick/cookie/carrying.py
@@ -11,7 +11,6 @@
     clock,
     codec,
     event_log,
-    knowledge,
     model,
     observations,
     settings,
@@ -19,14 +18,15 @@
     stall,
     stats,
     steering,
+    store_replica,
 )
 from eelgrasswick.decisions import cold_start, overload
 
-# Time that a VM needs after a stall to read the backlog of its socket: 200 KB are
-# 2,000 packets of 100 bytes, at 25 us each.
+# After a stall a VM needs this time to read the backlog of its socket: 200 KB are 2,000
+# packets of 100 bytes, at 25 us each.
 BACKLOG_MS: typing.Final = 50
-# A number above that of any retransmission of an opening packet. As the lowest number
-# that is kept, it makes the VM drop all opening packets of the backlog.
+# This number is above that of any retransmission of an opening packet. As the lowest
+# number that is kept, it makes the VM drop all opening packets of the backlog.
 NO_RETRANSMISSION: typing.Final = 1 << 32
 # Forwarded packets are counted but not logged, because a log line for each packet would
 # slow down forwarding.
@@ -41,7 +41,7 @@
 
     Attributes:
         codec: Reads and writes the fabric's packets.
-        knowledge: This VM's copy of the store, with its age.
+        replica: This VM's copy of the store, with its age.
         catalog: Routes and targets.
         observations: Observations of flows and targets.
         log: The log.
@@ -49,7 +49,7 @@
     """
 
     codec: codec.SegmentCodec
-    knowledge: knowledge.Knowledge
+    replica: store_replica.StoreReplica
     catalog: catalog.Catalog
     observations: observations.Observations
     log: event_log.EventLog
@@ -88,7 +88,7 @@
         self.probe: typing.Callable[[model.Target], None] = _ignore_target
         self._caller_port = caller_port
         self._codec = parts.codec
-        self._knowledge = parts.knowledge
+        self._replica = parts.replica
         self._catalog = parts.catalog
         self._observations = parts.observations
         self._log = parts.log
@@ -149,7 +149,7 @@
             self._stats.counts["packets_dropped_old"] += 1
             self._log.write("flow_dropped_old", flow=segment.flow)
             return
-        age_ms = self._knowledge.age_ms(now_ms)
+        age_ms = self._replica.age_ms(now_ms)
         decision = self.steering.steer(now_ms, age_ms, segment, raw)
         self._send(segment, decision)
         self._account(age_ms, segment, decision)
@@ -194,8 +194,8 @@
             target=target.name if target is not None else "-",
             zone=target.zone if target is not None else "-",
             on_target=self._flows_on(target),
-            revision=self._knowledge.revision,
-            age_ms=knowledge.reported_age_ms(age_ms),
+            revision=self._replica.revision,
+            age_ms=store_replica.reported_age_ms(age_ms),
             **self._withheld_fields(decision),
             **self._overload_fields(target),
         )
@@ -209,34 +209,34 @@
         if target is None:
             return {}
         pool = overload.Pool(target.service, target.zone)
-        refusals = self._observations.refusals
-        if not refusals.limiting(pool):
+        load_shedder = self._observations.load_shedder
+        if not load_shedder.limiting(pool):
             return {}
         # These are the figures by which refusals are decided. They are also logged for
         # flows that were admitted during the overload.
         return {
-            "of_objective": f"{refusals.ratio(pool):.2f}",
-            "refused_part": f"{refusals.refused_levels(pool):.2f}",
+            "of_objective": f"{load_shedder.ratio(pool):.2f}",
+            "refused_part": f"{load_shedder.refused_levels(pool):.2f}",
         }
 
     def log_overloads(self) -> None:
         """Log the overloads that have begun or ended since the last call."""
-        refusals = self._observations.refusals
-        while refusals.changed:
-            pool = refusals.changed.pop()
-            begun = refusals.limiting(pool)
+        load_shedder = self._observations.load_shedder
+        while load_shedder.changed:
+            pool = load_shedder.changed.pop()
+            begun = load_shedder.limiting(pool)
             self._log.write(
                 "overload_begun" if begun else "overload_over",
                 service=pool.service,
                 zone=pool.zone,
-                of_objective=f"{refusals.ratio(pool):.2f}",
+                of_objective=f"{load_shedder.ratio(pool):.2f}",
             )
 
     def log_ejections(self) -> None:
         """Log the targets that were ejected since the last call."""
-        fresh = self._observations.ejections.unlogged
-        while fresh:
-            item = fresh.pop()
+        unlogged = self._observations.ejections.unlogged
+        while unlogged:
+            item = unlogged.pop()
             self._stats.counts["targets_ejected"] += 1
             target = self._catalog.by_cookie(item.cookie)
             self._log.write(
@@ -254,7 +254,7 @@
         own = self._observations.tracker.flows_on(target.cookie)
         return own + self._observations.reports.flows_on(target.cookie)
 
-    def apply_rows(self, now_ms: int, merge: knowledge.Merge, origin: str) -> None:
+    def apply_rows(self, now_ms: int, merge: store_replica.Merge, origin: str) -> None:
         """Apply rows of the store that are new to this VM.
 
         Args:
@@ -264,7 +264,7 @@
         """
         if not merge.rows:
             return
-        gap_ms = knowledge.reported_age_ms(merge.previous_age_ms)
+        gap_ms = store_replica.reported_age_ms(merge.previous_age_ms)
         for note in self._catalog.update(now_ms, merge):
             self._log.write(note.event, **note.fields, origin=origin, gap_ms=gap_ms)
 
@@ -288,7 +288,7 @@
     target_catalog = catalog.Catalog(reader)
     parts = Parts(
         segment_codec,
-        knowledge.Knowledge(),
+        store_replica.StoreReplica(),
         target_catalog,
         observations.Observations(
             vm.zone,
--- a/eelgrasswick/cookie/catalog.py
+++ b/eelgrasswick/cookie/catalog.py
@@ -7,15 +7,16 @@
 from eelgrasswick.cookie import (
     cold_targets,
     evacuation,
-    knowledge,
     model,
     owners,
     source,
+    store_replica,
 )
 
 # An entry that is missing after an outage of the store stays usable for this long.
-# Entries lapse while targets can't renew them, and are back within two seconds. If
-# the VM dropped them at once, it would refuse a whole service until then.
+# Entries lapse while targets can't renew them, and targets restore them within two
+# seconds. If the VM dropped the lapsed entries at once, it would refuse a whole service
+# until then.
 LAPSED_ENTRY_GRACE_MS: typing.Final = 2000
 # When a VM's rows were older than this, a deletion may be due to an outage of the
 # store. Without an outage the rows are at most two seconds old.
@@ -70,17 +71,17 @@
         self._by_name: dict[str, model.Target] = {}
         self._by_cookie: dict[int, model.Target] = {}
         self._by_service: dict[str, list[model.Target]] = {}
-        # Targets that get no new flows only because their zone is evacuated.
+        # These targets get no new flows only because their zone is evacuated.
         self._withheld: dict[str, list[model.Target]] = {}
         self._gone_ms: collections.OrderedDict[int, int] = collections.OrderedDict()
         self._lapsed: dict[str, _Lapsed] = {}
         self._services: frozenset[str] = frozenset()
         self._owners = owners.Owners()
-        self._confirmed_ms = knowledge.NEVER_MS
-        self._settle_left_ms = 0
+        self._confirmed_ms = store_replica.NEVER_MS
+        self._completion_left_ms = 0
         # A dict keeps insertion order, so that the oldest route is evicted first.
         self._dropped_routes: dict[tuple[bytes, int], None] = {}
-        self._seen_ms: dict[int, int] = {}
+        self._received_ms: dict[int, int] = {}
 
     @property
     def ready(self) -> bool:
@@ -88,9 +89,9 @@
         return self.config is not None and bool(self._by_name)
 
     @property
-    def settled(self) -> bool:
+    def entries_complete(self) -> bool:
         """False while entries may still be missing after an outage of the store."""
-        return self._settle_left_ms <= 0
+        return self._completion_left_ms <= 0
 
     @property
     def targets(self) -> typing.Collection[model.Target]:
@@ -115,34 +116,34 @@
         return self.config.routes.get((flow.service_ip, flow.service_port))
 
     def route_dropped(self, segment: model.Segment) -> bool:
-        """Return True if this VM saw the route of a segment being dropped."""
+        """Return True if this VM has recorded the removal of a segment's route."""
         return (
             segment.flow.service_ip,
             segment.flow.service_port,
         ) in self._dropped_routes
 
     def by_cookie(self, cookie: int) -> model.Target | None:
-        """Return the target of a cookie, including one that left recently."""
+        """Return the target of a cookie, including one whose entry is recently gone."""
         return self._by_cookie.get(cookie)
 
-    def ended(self, cookie: int) -> bool:
+    def has_ended(self, cookie: int) -> bool:
         """Return True if the target of a cookie has certainly ended."""
-        return self._owners.ended(cookie)
+        return self._owners.has_ended(cookie)
 
     def accepting(self, service: str) -> list[model.Target]:
         """Return the targets of a service that may get new flows."""
         return self._by_service.get(service, [])
 
     def withheld(self, service: str) -> list[model.Target]:
-        """Return a service's targets that an evacuation alone keeps from new flows."""
+        """Return a service's targets that only an evacuation excludes."""
         return self._withheld.get(service, [])
 
     def cold_ms(self, target: model.Target, now_ms: int) -> int:
         """Return for how many more ms a target is expected to be cold and slow."""
         left_ms = 0
         if target.cold_ms:
-            seen_ms = self._seen_ms.get(target.cookie, now_ms)
-            left_ms = target.cold_ms - (now_ms - seen_ms)
+            received_ms = self._received_ms.get(target.cookie, now_ms)
+            left_ms = target.cold_ms - (now_ms - received_ms)
         service = self.service(target.service)
         if service is not None and service.cold_ms:
             age_ms = self.ages.age_ms(now_ms, target.cookie)
@@ -154,7 +155,7 @@
         """Return the configuration of a service, or None."""
         return self.config.services.get(name) if self.config is not None else None
 
-    def update(self, now_ms: int, merge: knowledge.Merge) -> list[LogEvent]:
+    def update(self, now_ms: int, merge: store_replica.Merge) -> list[LogEvent]:
         """Apply the rows that a merge changed.
 
         Returns:
@@ -162,10 +163,10 @@
         """
         outage = merge.previous_age_ms > OUTAGE_AGE_MS or self._lapsed_together(merge)
         if outage:
-            self._settle_left_ms = LAPSED_ENTRY_GRACE_MS
+            self._completion_left_ms = LAPSED_ENTRY_GRACE_MS
         # Entries that return after an outage mostly belong to targets that started
         # earlier, so their arrival does not show when the target started.
-        watched = bool(self._by_name) and self.settled
+        watched = bool(self._by_name) and self.entries_complete
         events = []
         ended: list[model.Target] = []
         # The configuration is applied first, because it determines the services
@@ -197,7 +198,7 @@
         self._confirmed_ms = confirmed_ms
         if elapsed_ms > MAX_CONFIRMATION_GAP_MS:
             elapsed_ms = 0
-        self._settle_left_ms = max(0, self._settle_left_ms - elapsed_ms)
+        self._completion_left_ms = max(0, self._completion_left_ms - elapsed_ms)
         lapsed = []
         for name, item in self._lapsed.items():
             self._lapsed[name] = item._replace(left_ms=item.left_ms - elapsed_ms)
@@ -211,10 +212,10 @@
                 break
             del self._gone_ms[cookie]
             target = self._by_cookie.pop(cookie, None)
-            self._seen_ms.pop(cookie, None)
-            self.ages.forget(cookie)
+            self._received_ms.pop(cookie, None)
+            self.ages.remove(cookie)
             if target is not None:
-                self._owners.forget(target)
+                self._owners.remove(target)
         if lapsed:
             self._rebuild()
 
@@ -249,8 +250,8 @@
         if row.value is None:
             former = self.evacuations.end(row.key)
             zone = former.zone if former is not None else "-"
-            # Targets may have restarted during the evacuation, and their new entries
-            # may not have arrived yet.
+            # Targets may have restarted during the evacuation, and this VM may not have
+            # received their new entries yet.
             for target in self.targets:
                 if target.zone == zone:
                     self.ages.record_start(now_ms, target.cookie)
@@ -292,7 +293,7 @@
             self._gone_ms[before.cookie] = now_ms
         self._lapsed.pop(row.key, None)
         self._by_name[row.key] = target
-        self._seen_ms[target.cookie] = now_ms
+        self._received_ms[target.cookie] = now_ms
         self._gone_ms.pop(target.cookie, None)
         return LogEvent(
             "target_known",
@@ -314,7 +315,7 @@
             return []
         return self._owners.record_entry(target, row.revision)
 
-    def _lapsed_together(self, merge: knowledge.Merge) -> bool:
+    def _lapsed_together(self, merge: store_replica.Merge) -> bool:
         if merge.previous_age_ms <= SHORT_OUTAGE_AGE_MS:
             return False
         rows = [row for row in merge.rows if row.value is None]
@@ -351,7 +352,7 @@
             if target.cookie in owners:
                 continue
             owners[target.cookie] = target
-            if target.draining or self.ended(target.cookie):
+            if target.draining or self.has_ended(target.cookie):
                 continue
             evacuated = self.evacuations.covers(target)
             by_service = self._withheld if evacuated else self._by_service
--- a/eelgrasswick/cookie/forwarding.py
+++ b/eelgrasswick/cookie/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards callers' packets by their socket, and probes suspected targets."""
+"""Forwards callers' packets through a socket, and probes suspected targets."""
 
 import typing
 
@@ -7,10 +7,10 @@
 from eelgrasswick.cookie import (
     carrying,
     clock,
-    knowledge,
     model,
     ports,
     probing,
+    store_replica,
 )
 from eelgrasswick.decisions import ejection
 
@@ -20,7 +20,8 @@
 
     Attributes:
         port: The socket, for the reactor to listen on.
-        on_dead: Called with the cookie of each target that this VM has found dead.
+        on_dead: Called with the cookie of each target that this VM has detected as
+            dead.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         carrier.probe = self._begin_probe
 
     def begin(self) -> None:
-        """Send the carrier's datagrams by the socket from now on."""
+        """Send the carrier's datagrams through the socket from now on."""
         self._carrier.send = self.port.send
 
     def _begin_probe(self, target: model.Target) -> None:
@@ -60,7 +61,7 @@
         ended_ms = clock.now_ms()
         if self._carrier.stalls.gap_since(now_ms, ended_ms):
             # The probe may have timed out while its answer was unread in the socket.
-            zone_answered_ms, missing = knowledge.NEVER_MS, False
+            zone_answered_ms, missing = store_replica.NEVER_MS, False
         dead = self._observations.liveness.record_probe(
             ended_ms, target.cookie, accepted, zone_answered_ms, missing
         )
@@ -70,7 +71,7 @@
             target=target.name,
             accepted=int(accepted),
             entry_missing=int(missing),
-            path_ms=knowledge.reported_age_ms(ended_ms - zone_answered_ms),
+            path_ms=store_replica.reported_age_ms(ended_ms - zone_answered_ms),
             flows_reset=self._reset_flows(target) if dead else 0,
         )
         if dead:
--- a/eelgrasswick/cookie/observations.py
+++ b/eelgrasswick/cookie/observations.py
@@ -6,22 +6,21 @@
 from eelgrasswick.cookie import (
     catalog,
     cold_targets,
-    knowledge,
     liveness,
     model,
     placing,
     reports,
     silence,
     speed,
+    store_replica,
     tracker,
 )
 from eelgrasswick.decisions import cold_start, ejection, overload, response_time
 
-# Interval at which the records of removed services and routes are deleted. Few are
+# The records of removed services and routes are deleted at this interval. Few are
 # removed a day, and the search walks thousands of targets.
 REMOVAL_INTERVAL_MS: typing.Final = 10_000
-# Interval at which the speeds of all targets are compared. Response times change
-# slowly.
+# The speeds of all targets are compared at this interval. Response times change slowly.
 SPEED_INTERVAL_MS: typing.Final = 1000
 # For this long after a pause of this VM, overdue requests are ignored, because their
 # responses may still be unread in the socket.
@@ -44,11 +43,11 @@
     """Flows, response times and unanswered packets of all targets.
 
     Attributes:
-        tracker: The flows seen lately.
+        tracker: Records of recently active flows.
         answer_times: Response times by target.
         response_times: Response times by service.
         ejections: Outlier ejection of targets.
-        refusals: Load shedding of new flows.
+        load_shedder: Refuses new flows in an overload.
         levels: Priorities of the flows of each service.
         reports: What the peers report about targets.
         liveness: Checks of silent targets.
@@ -79,9 +78,9 @@
         self.answer_times = speed.AnswerTimes()
         self.response_times = response_time.ResponseTimes()
         self.ejections = ejection.OutlierEjection()
-        self.refusals = overload.LoadShedder(refuse)
+        self.load_shedder = overload.LoadShedder(refuse)
         self.levels = overload.PriorityLevels()
-        self._sizes = overload.ResponseSizes()
+        self._response_sizes = overload.ResponseSizes()
         self._stall_end_ms = 0
         self._paused_ms = 0
         self._removed_ms = 0
@@ -203,13 +202,13 @@
         answer_ms = measurement.answer_ms
         if answer_ms is None or not route.objective_ms:
             return
-        refused = self._sizes.refused(route.name, measurement.answer_bytes)
+        refused = self._response_sizes.refused(route.name, measurement.answer_bytes)
         if measurement.request_retransmitted or now_ms - answer_ms < self._stall_end_ms:
             return
         levels = self.levels.rank(target.service, route.priority).levels
         pool = overload.Pool(target.service, target.zone)
         ratio = answer_ms / route.objective_ms
-        self.refusals.answered(now_ms, pool, ratio, refused, levels)
+        self.load_shedder.answered(now_ms, pool, ratio, refused, levels)
 
     def record_stall(self, now_ms: int) -> None:
         """Record the end of a stall of this VM."""
@@ -303,7 +302,7 @@
 
     def zone_answered_ms(self, target: model.Target) -> int:
         """Return the time when a target of the same zone last answered."""
-        return self._answered_ms.get(target.zone, knowledge.NEVER_MS)
+        return self._answered_ms.get(target.zone, store_replica.NEVER_MS)
 
     def record_zone_answer(self, now_ms: int, zone: str) -> None:
         """Record that a target of a zone has answered."""
@@ -320,17 +319,17 @@
         return None
 
     def tick(self, now_ms: int) -> None:
-        """Update sums and speed factors, and forget removed targets and old flows."""
+        """Update sums and speed factors, and delete outdated records."""
         self.tracker.expire(now_ms)
         self.reports.tick(now_ms)
         cookies = {item.cookie for item in self._catalog.targets}
-        self.answer_times.keep(cookies)
-        self._silence.keep(cookies)
-        self._response_silence.keep(cookies)
-        self.liveness.keep(self._catalog.forwardable_cookies)
-        self.ejections.keep(now_ms, cookies)
-        self.cold.limits.keep(cookies)
-        self._keep_refusals(now_ms)
+        self.answer_times.retain(cookies)
+        self._silence.retain(cookies)
+        self._response_silence.retain(cookies)
+        self.liveness.retain(self._catalog.forwardable_cookies)
+        self.ejections.retain(now_ms, cookies)
+        self.cold.limits.retain(cookies)
+        self._remove_stale_records(now_ms)
         if now_ms - self._compared_ms >= SPEED_INTERVAL_MS:
             self._compared_ms = now_ms
             self._compare_speeds()
@@ -342,16 +341,18 @@
             means_ms = {item.cookie: self._mean_ms(item.cookie) for item in accepting}
             self._factors.update(speed.speed_factors(means_ms))
 
-    def _keep_refusals(self, now_ms: int) -> None:
+    def _remove_stale_records(self, now_ms: int) -> None:
         if now_ms - self._removed_ms < REMOVAL_INTERVAL_MS:
             return
         self._removed_ms = now_ms
         targets = self._catalog.targets
-        self.refusals.keep({overload.Pool(item.service, item.zone) for item in targets})
+        self.load_shedder.retain(
+            {overload.Pool(item.service, item.zone) for item in targets}
+        )
         config = self._catalog.config
         if config is not None:
-            self._sizes.keep({item.name for item in config.routes.values()})
-        self.response_times.keep({item.service for item in targets})
+            self._response_sizes.retain({item.name for item in config.routes.values()})
+        self.response_times.retain({item.service for item in targets})
 
     def report(self) -> reports.Report:
         """Return the report for the peers, silent and then fullest targets first."""
--- a/eelgrasswick/cookie/owners.py
+++ b/eelgrasswick/cookie/owners.py
@@ -39,7 +39,7 @@
         self._owners: dict[model.Address, _Owner] = {}
         self._ended: set[int] = set()
 
-    def ended(self, cookie: int) -> bool:
+    def has_ended(self, cookie: int) -> bool:
         """Return True when another server has taken over a target's address."""
         return cookie in self._ended
 
@@ -58,7 +58,7 @@
         self._ended.update(item.cookie for item in new)
         return new
 
-    def forget(self, target: model.Target) -> None:
+    def remove(self, target: model.Target) -> None:
         """Delete the records of a target that can't have open flows any more."""
         self._ended.discard(target.cookie)
         owner = self._owners.get(target.address)
--- a/eelgrasswick/cookie/peers.py
+++ b/eelgrasswick/cookie/peers.py
@@ -22,7 +22,7 @@
 # time is never shorter than EXPIRY_CYCLES cycles.
 EXPIRY_MS: typing.Final = 30_000
 EXPIRY_CYCLES: typing.Final = 2
-# Number of members that each message carries.
+# Each message carries this many members.
 SAMPLE_SIZE: typing.Final = 6
 # In each round one of this many VMs with the latest confirmation gets a request.
 # One in four requests of a zone's 20 VMs, 20 a second, then reaches the VM that
@@ -32,8 +32,8 @@
 # number, all VMs of a fleet that starts at once find each other in about three
 # seconds.
 MAX_NEW_HOSTS_PER_ROUND: typing.Final = 4
-# Share of the VMs treated as dead that a cycle includes. A VM that returns usually
-# makes contact earlier, through its own requests.
+# A cycle includes this share of the VMs that are treated as dead. A VM that returns
+# usually makes contact earlier, through its own requests.
 RETRY_SHARE: typing.Final = 0.25
 
 
@@ -118,8 +118,9 @@
         for host in hosts:
             if host != self._host and host not in self._peers:
                 self._peers[host] = Peer(host, now_ms)
-                # A new host receives the next request, so that a VM that starts
-                # finds the others soon. A VM without peers calls the store itself.
+                # A new host receives the next request, so that a starting VM makes
+                # contact with the others soon. A VM without peers calls the store
+                # itself.
                 self._cycle.insert(0, host)
 
     def add_members(self, now_ms: int, members: typing.Iterable[Member]) -> None:
@@ -170,8 +171,8 @@
         """
         self._request_rounds += 1
         chosen = self._next_in_cycle()
-        fresh = self._sample_hosts(self._freshest_hosts(), 1)
-        return chosen + [host for host in fresh if host not in chosen]
+        sampled = self._sample_hosts(self._freshest_hosts(), 1)
+        return chosen + [host for host in sampled if host not in chosen]
 
     def _next_in_cycle(self) -> list[str]:
         if not self._cycle:
--- a/eelgrasswick/cookie/reports.py
+++ b/eelgrasswick/cookie/reports.py
@@ -48,25 +48,26 @@
     """Registry of the latest report of each other VM.
 
     Attributes:
-        others: Number of other live VMs.
+        other_vms: Number of other live VMs.
     """
 
     def __init__(self) -> None:
         """Create an empty registry."""
-        self.others = 0
+        self.other_vms = 0
         self._scale = 1.0
         self._reports: dict[str, tuple[Report, int]] = {}
         # These sums are updated with each report, because summing hundreds of
         # reports for each packet would delay the packets.
         self._flows: collections.Counter[int] = collections.Counter()
-        # Answer times in ms by target cookie and VM.
+        # This table has answer times in ms by target cookie and VM.
         self._answers_ms: dict[int, dict[str, int]] = {}
-        # Time of the latest report that a target is silent, by cookie and VM.
+        # This table has the time of the latest report that a target is silent, by
+        # cookie and VM.
         self._silent_ms: dict[int, dict[str, int]] = {}
 
     def record(self, now_ms: int, host: str, report: Report) -> None:
         """Replace the previous report of a VM by a new one."""
-        self.forget(host)
+        self.remove(host)
         self._reports[host] = (report, now_ms)
         for entry in report:
             self._flows[entry.cookie] += entry.flows
@@ -75,7 +76,7 @@
             if entry.silent:
                 self._silent_ms.setdefault(entry.cookie, {})[host] = now_ms
 
-    def forget(self, host: str) -> None:
+    def remove(self, host: str) -> None:
         """Remove the report of a dead VM, whose flows now pass through other VMs."""
         report, _ = self._reports.pop(host, ((), 0))
         for entry in report:
@@ -94,9 +95,9 @@
             if now_ms - at_ms > RETENTION_MS
         ]
         for host in old:
-            self.forget(host)
+            self.remove(host)
         held = len(self._reports)
-        self._scale = max(1.0, self.others / held) if held >= MIN_SAMPLE_VMS else 1.0
+        self._scale = max(1.0, self.other_vms / held) if held >= MIN_SAMPLE_VMS else 1.0
 
     def __len__(self) -> int:
         """Return the number of VMs with a recent report."""
--- a/eelgrasswick/cookie/speed.py
+++ b/eelgrasswick/cookie/speed.py
@@ -9,12 +9,12 @@
 
 import typing
 
-# Weight of a new sample in the exponentially weighted moving average.
+# A new sample has this weight in the exponentially weighted moving average.
 SMOOTHING: typing.Final = 0.1
 # A mean is used after this many samples, because work times differ by half of their
 # mean.
 MIN_SAMPLES: typing.Final = 8
-# Bounds of a speed factor. They limit what a target can gain or lose by few or late
+# These bounds of a speed factor limit what a target can gain or lose by few or late
 # samples.
 MIN_FACTOR: typing.Final = 0.35
 MAX_FACTOR: typing.Final = 1.6
@@ -58,7 +58,7 @@
             return None
         return max(1.0, previous.mean_ms)
 
-    def keep(self, cookies: typing.Collection[int]) -> None:
+    def retain(self, cookies: typing.Collection[int]) -> None:
         """Delete the records of all other targets."""
         for cookie in [item for item in self._answers if item not in cookies]:
             del self._answers[cookie]
--- a/eelgrasswick/cookie/steering.py
+++ b/eelgrasswick/cookie/steering.py
@@ -16,8 +16,8 @@
 # sooner was queued together with the first packet, and is no sign that the target
 # left the first packet unanswered.
 MIN_RETRANSMISSION_MS: typing.Final = 120
-# Number of the last retransmission of an opening packet, which callers send 600 ms
-# after the original packet. The original packet has number 0.
+# This is the number of the last retransmission of an opening packet, which callers send
+# 600 ms after the original packet. The original packet has number 0.
 LAST_RETRANSMISSION: typing.Final = 2
 _HIGH_BITS: typing.Final = 2**16
 _NUMBERS: typing.Final = struct.Struct(">III")
@@ -71,7 +71,7 @@
 
 
 class Steering:
-    """Decides about packets by the catalog and by the observations of this VM."""
+    """Decides about packets from the catalog and the observations of this VM."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         # has not received it yet, a reset would refuse an allowed flow, whereas a
         # caller without a response retransmits its opening packet. An open flow
         # proves that some VM has the route, so this VM resets an open flow only
-        # after it has seen the removal of the route.
+        # after it has recorded the removal of the route.
         resettable = segment.opening or self._catalog.route_dropped(segment)
         if segment.reset or age_ms > MAX_CATALOG_AGE_MS or not resettable:
             return Decision(Outcome.NO_ROUTE, None, None, None)
@@ -204,9 +204,9 @@
     def _without_target(
         self, flow: model.FlowId, withheld: tuple[Reason, ...]
     ) -> Decision:
-        if not self._catalog.settled:
-            # A reset would be final, whereas the caller's next retransmission may
-            # find a target.
+        if not self._catalog.entries_complete:
+            # A reset would be final, whereas a target may be available for the caller's
+            # next retransmission.
             return Decision(Outcome.NO_TARGET_YET, None, None, None)
         outcome = Outcome.NO_TARGET
         if Reason.COLD in withheld:
@@ -221,7 +221,7 @@
     ) -> list[placing.Candidate]:
         # The load of a zone shows in its response times more than in its numbers of
         # flows. Response times are measured only by VMs of the same zone.
-        limiting = self._observations.refusals.limiting
+        limiting = self._observations.load_shedder.limiting
         return [
             item
             for item in candidates
@@ -238,10 +238,10 @@
         observed = self._observations
         observed.levels.opened(now_ms, target.service, route.priority)
         pool = overload.Pool(target.service, target.zone)
-        if not observed.refusals.limiting(pool):
+        if not observed.load_shedder.limiting(pool):
             return False
         rank = observed.levels.rank(target.service, route.priority)
-        return draws.refuse < observed.refusals.refused_share(now_ms, pool, rank)
+        return draws.refuse < observed.load_shedder.refused_share(now_ms, pool, rank)
 
     def _forwarded_to(
         self, outcome: Outcome, target: model.Target, raw: bytes
@@ -265,7 +265,7 @@
         if target is None:
             return Decision(Outcome.UNKNOWN_COOKIE, None, None, None)
         if self._is_dead(now_ms, target):
-            self._observations.tracker.forget(segment.flow)
+            self._observations.tracker.remove(segment.flow)
             datagram = self._codec.reset(segment.flow, segment.acknowledged)
             return Decision(Outcome.TARGET_DEAD, datagram, None, target)
         measurement = self._observations.tracker.record_segment(now_ms, segment, cookie)
@@ -289,14 +289,14 @@
 
     def _is_dead(self, now_ms: int, target: model.Target) -> bool:
         cookie = target.cookie
-        ended = self._catalog.ended(cookie)
+        ended = self._catalog.has_ended(cookie)
         return ended or self._observations.liveness.dead(now_ms, cookie)
 
     def reset_flows(self, target: model.Target) -> list[tuple[model.FlowId, bytes]]:
-        """Forget the open flows of a dead target, and return a reset for each."""
+        """Remove the open flows of a dead target, and return a reset for each."""
         flows = self._observations.tracker.open_flows(target.cookie)
         for flow, _ in flows:
-            self._observations.tracker.forget(flow)
+            self._observations.tracker.remove(flow)
         return [
             (flow, self._codec.reset(flow, acknowledged))
             for flow, acknowledged in flows
--- a/eelgrasswick/decisions/cold_start.py
+++ b/eelgrasswick/decisions/cold_start.py
@@ -2,8 +2,8 @@
 
 Load pattern: servers are replaced by the dozen, or all servers of a zone return
 together, while many callers open flows. A cold target sustains few new flows a second,
-and no VM sees the flows that the others send to it. Each VM alone stays far below the
-limit, and together they exceed it.
+and no VM can count the flows that the others send to it. Each VM alone stays far below
+the limit, and together they exceed it.
 
 Cold targets therefore get no flows while warm targets can take them. Where only cold
 targets are left, a few VMs may open flows to each of them. Every VM computes the same
@@ -18,9 +18,9 @@
 
 # The limit applies to every time window of this length.
 WINDOW_MS: typing.Final = 1000
-# Share of the limit that is allocated to VMs. The views of VMs differ for some seconds
-# after other VMs joined or left, and during that time two sets of VMs may open flows to
-# one target.
+# Only this share of the limit is allocated to VMs. The views of VMs differ for some
+# seconds after other VMs joined or left, and during that time two sets of VMs may open
+# flows to one target.
 ALLOCATED_SHARE: typing.Final = 0.5
 # A VM that has just started may have opened flows before its restart, and other VMs may
 # not have detected it yet. It opens no flow to a cold target for this time.
@@ -65,7 +65,7 @@
 
         Args:
             vm: Address of this VM.
-            limit: What operators tolerate; the default limit when None.
+            limit: How far the limit may be exceeded; the default when None.
         """
         self._vm = vm
         self._limit = limit or Limit()
@@ -119,7 +119,7 @@
         while now_ms - times_ms[0] >= WINDOW_MS:
             times_ms.popleft()
 
-    def keep(self, cookies: typing.Collection[int]) -> None:
+    def retain(self, cookies: typing.Collection[int]) -> None:
         """Delete the records of all other targets."""
         for table in (self._ranks, self._opened_ms):
             for cookie in [item for item in table if item not in cookies]:
--- a/eelgrasswick/decisions/response_time.py
+++ b/eelgrasswick/decisions/response_time.py
@@ -8,8 +8,8 @@
 
 import typing
 
-# Weights of a new sample in the mean and in the deviation, and the number of deviations
-# above the mean that are still usual, as in RFC 6298.
+# These are the weights of a new sample in the mean and in the deviation, and the number
+# of deviations above the mean that are still usual, as in RFC 6298.
 MEAN_WEIGHT: typing.Final = 1 / 8
 DEVIATION_WEIGHT: typing.Final = 1 / 4
 DEVIATIONS: typing.Final = 4
@@ -47,7 +47,7 @@
             return None
         return known.mean_ms + DEVIATIONS * known.deviation_ms
 
-    def keep(self, services: typing.Collection[str]) -> None:
+    def retain(self, services: typing.Collection[str]) -> None:
         """Delete the records of all other services."""
         for service in [item for item in self._estimates if item not in services]:
             del self._estimates[service]
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -10,11 +10,11 @@
 from eelgrasswick.cookie import (
     catalog,
     codec,
-    knowledge,
     model,
     observations,
     source,
     steering,
+    store_replica,
 )
 from eelgrasswick.decisions import ejection
 from eelgrasswick.emulation import agenda, packets
@@ -185,7 +185,7 @@
         return row
 
     def _apply_update(self, vm: Vm, row: source.Row) -> None:
-        vm.catalog.update(self._scheduler.now_ms, knowledge.Merge((row,), 0))
+        vm.catalog.update(self._scheduler.now_ms, store_replica.Merge((row,), 0))
 
     def vms_in_zone(self, zone: str) -> list[int]:
         """Return the indices of a zone's VMs."""
@@ -238,7 +238,7 @@
     def _add_vm(self, zone: str, vm: int) -> None:
         vm_catalog = catalog.Catalog(self._reader)
         rows = (*self._reader.rows(), *self._written_rows.values())
-        vm_catalog.update(0, knowledge.Merge(rows, 0))
+        vm_catalog.update(0, store_replica.Merge(rows, 0))
         vm_observations = observations.Observations(zone, vm_catalog, vm=f"vm{vm}")
         for number, target in enumerate(vm_catalog.targets):
             self._index_by_cookie[target.cookie] = number
--- a/eelgrasswick/homes/guess.py
+++ b/eelgrasswick/homes/guess.py
@@ -25,11 +25,11 @@
 _MAX_DEFAULTS: typing.Final = 2
 
 
-class Guesser:
+class TargetSearch:
     """Finds targets of flows of which no VM has a record."""
 
     def __init__(self, name: str, shared: tables.Tables) -> None:
-        """Create the guesser of the VM ``name``."""
+        """Create the search of the VM ``name``."""
         self._name = name
         self._tables = shared
 
@@ -42,7 +42,7 @@
         # packet may be meant for that service, and no target of this service
         # may receive it.
         doubtful = flow_service.reused or (
-            flow_service.retired and self._tables.epochs.behind
+            flow_service.retired and self._tables.epochs.outdated
         )
         candidates = [] if doubtful else self._candidates(key, flow_service)
         if not candidates:
@@ -121,7 +121,7 @@
         names = [name for name in found if name in present]
         return [present[name] for name in names[:MAX_CANDIDATES]]
 
-    # The first datagrams of UDP flows.
+    # The methods below handle the first datagrams of UDP flows.
 
     def all_owners_reachable(
         self, now_ms: int, key: packet.FlowKey, flow_service: service.Service
--- a/eelgrasswick/homes/hint.py
+++ b/eelgrasswick/homes/hint.py
@@ -24,7 +24,7 @@
 class HintTable:
     """Stores targets of flows for a limited time, up to a number of flows.
 
-    An entry VM gets them from answers, which come directly from the target and
+    An entry VM gets these targets from answers, which come directly from the target and
     therefore can't be wrong, and from homes. Hints save the detour through the
     home and outlive the home.
     """
@@ -52,7 +52,7 @@
             return None
         return hint.target
 
-    def learn(self, now_ms: int, flow: packet.FlowKey, chosen: target.Target) -> None:
+    def record(self, now_ms: int, flow: packet.FlowKey, chosen: target.Target) -> None:
         """Store or confirm the target of a flow."""
         known = flow in self._hints
         if not known and len(self._hints) >= self._capacity:
--- a/eelgrasswick/homes/opener.py
+++ b/eelgrasswick/homes/opener.py
@@ -246,13 +246,13 @@
             return admission.Refusal(errors.ErrorKind.SERVICE_ENDED, _DAY_MS)
         flows = self._tables.flows
         caller = flow.Caller(flow_service.name, key.caller_ip)
-        demand = admission.LimitUsage(
+        usage = admission.LimitUsage(
             flow_service.limit,
             self._share(),
             flows.open_by_service[flow_service.name],
             flows.open_by_caller[caller],
         )
-        return admission.admit(demand, _hash_fraction(key))
+        return admission.admit(usage, _hash_fraction(key))
 
     def _share(self) -> float:
         current = self._tables.epochs.current
@@ -341,7 +341,7 @@
         key: packet.FlowKey,
         refusal: admission.Refusal | None,
     ) -> None:
-        """Send the caller at once a refusal: nothing of its flow has run."""
+        """Refuse a flow: notify its caller at once that nothing of the flow has run."""
         assert refusal is not None
         outbox = self._tables.outbox
         outbox.count(_COUNT.FLOWS_REFUSED)
--- a/eelgrasswick/platform/early.py
+++ b/eelgrasswick/platform/early.py
@@ -3,10 +3,10 @@
 The import takes 0.2 s of a core, and more on a small one. After a power loss of all VMs
 no VM would serve callers in that time, and requests with deadlines below a second would
 be late or lost. The modules that decide about packets need none of these libraries, so
-they are imported first. Then the store is asked for all rows, and the libraries are
-imported one by one; after each import the packets that arrived during it are forwarded.
-A VM that starts while others serve asks one of them first, which saves the store a
-listing and also returns the other VMs.
+they are imported first. Then the VM requests all rows from the store, and the libraries
+are imported one by one; after each import the packets that arrived during it are
+forwarded. A VM that starts while others serve requests the rows from one of them first,
+which saves the store a listing and also provides the addresses of the other VMs.
 
 An import in a thread would forward packets sooner, but the threads of a VM may
 alternate in turns of a tenth of a second.
@@ -24,24 +24,25 @@
     bootstrap,
     carrying,
     clock,
-    knowledge,
     model,
     source,
     steering,
+    store_replica,
 )
 from eelgrasswick.platform import listing
 
 if typing.TYPE_CHECKING:
     from eelgrasswick.cookie import peers
 
-# How long the start waits for the store before the libraries are imported: while no
-# bytes arrive, and in total. A store that answers at once has sent all rows by then.
+# These times limit how long the start waits for the store before the libraries are
+# imported: while no bytes arrive, and in total. A store that answers at once has sent
+# all rows by then.
 FIRST_IDLE_S: typing.Final = 0.03
 FIRST_READ_S: typing.Final = 0.1
 # When no bytes arrive for this time and all libraries are imported, the start continues
 # without the store, and the VM receives the rows from other VMs.
 STALL_S: typing.Final = 0.5
-# Libraries in an order in which none imports many modules besides itself.
+# The order of these libraries is one in which none imports many modules besides itself.
 LIBRARIES: typing.Final = (
     "random",
     "asyncio",
@@ -63,8 +64,8 @@
 )
 # A listing that makes progress may take this many times as long as ``STALL_S``.
 MAX_STALLS: typing.Final = 4
-# Most packets that are forwarded between two imports. Without this limit a flood of
-# packets would delay the start.
+# At most this many packets are forwarded between two imports. Without this limit a
+# flood of packets would delay the start.
 MAX_PACKETS_PER_IMPORT: typing.Final = 500
 _CHUNK_BYTES: typing.Final = 65_536
 _ORIGIN: typing.Final = "store"
@@ -115,9 +116,9 @@
         answer = bootstrap.fetch_rows(self._seeds, self._carrier.parts.log)
         if answer is None:
             return False
-        local_rows = self._carrier.parts.knowledge
+        replica = self._carrier.parts.replica
         now_ms = clock.now_ms()
-        merge = answer.offer.merge_into(now_ms, answer.requested_ms, local_rows)
+        merge = answer.offer.merge_into(now_ms, answer.requested_ms, replica)
         self._carrier.apply_rows(now_ms, merge, answer.host)
         self.members = answer.offer.sender_state.members
         self._carrier.parts.log.write(
@@ -125,12 +126,12 @@
             peer=answer.host,
             took_ms=now_ms - answer.requested_ms,
             members=len(self.members),
-            revision=local_rows.revision,
-            age_ms=knowledge.reported_age_ms(local_rows.age_ms(now_ms)),
+            revision=replica.revision,
+            age_ms=store_replica.reported_age_ms(replica.age_ms(now_ms)),
         )
         # Rows that are old because of an outage of the store are better than none, but
         # the store may be available again by now.
-        return local_rows.age_ms(now_ms) <= steering.MAX_CATALOG_AGE_MS
+        return replica.age_ms(now_ms) <= steering.MAX_CATALOG_AGE_MS
 
     def _read(self, idle_s: float, total_s: float) -> None:
         """Continue to read the listing, if it is not complete.
@@ -149,16 +150,16 @@
                 self._give_up(f"{type(error).__name__}: {error}")
                 return
             if changes is not None:
-                self._merge(changes, self._reader.asked_ms)
+                self._merge(changes, self._reader.requested_ms)
                 self._close_reader()
             elif wait_s <= 0 and self._reader.progress_s == before_s:
                 return
 
-    def _merge(self, changes: source.Changes, asked_ms: int) -> None:
-        local_rows = self._carrier.parts.knowledge
+    def _merge(self, changes: source.Changes, requested_ms: int) -> None:
+        replica = self._carrier.parts.replica
         now_ms = clock.now_ms()
-        self._carrier.apply_rows(now_ms, local_rows.merge(now_ms, changes), _ORIGIN)
-        local_rows.confirm(changes.revision, asked_ms)
+        self._carrier.apply_rows(now_ms, replica.merge(now_ms, changes), _ORIGIN)
+        replica.confirm(changes.revision, requested_ms)
 
     def _give_up(self, detail: str) -> None:
         self._carrier.parts.log.write("early_read_failed", detail=detail)
--- a/eelgrasswick/trials/capacity_slope.py
+++ b/eelgrasswick/trials/capacity_slope.py
@@ -248,7 +248,7 @@
     def build() -> object:
         table = hint.HintTable(10_000, SAMPLE_FLOWS)
         for number in range(SAMPLE_FLOWS):
-            table.learn(1000, packet_path.flow_key(number, chosen.endpoint), chosen)
+            table.record(1000, packet_path.flow_key(number, chosen.endpoint), chosen)
         return table
 
     return _memory_bytes(build) / SAMPLE_FLOWS
--- a/tests/test_catalog.py
+++ b/tests/test_catalog.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from eelgrasswick.cookie import catalog, knowledge, model, source
+from eelgrasswick.cookie import catalog, model, source, store_replica
 from eelgrasswick.platform import entries
 from tests import cookie_parts
 
@@ -23,7 +23,7 @@
 def _update(
     current: catalog.Catalog, now_ms: int, row: source.Row, previous_age_ms: int = 0
 ) -> list[catalog.LogEvent]:
-    return current.update(now_ms, knowledge.Merge((row,), previous_age_ms))
+    return current.update(now_ms, store_replica.Merge((row,), previous_age_ms))
 
 
 def test_draining_target_gets_no_new_flow(current: catalog.Catalog) -> None:
@@ -117,12 +117,14 @@
 
 
 def test_not_ready_without_targets() -> None:
-    made = catalog.Catalog(entries.Reader())
-    assert not made.ready
-    made.update(0, knowledge.Merge((cookie_parts.config_row(1),), 0))
-    assert not made.ready
-    made.update(0, knowledge.Merge((cookie_parts.target_row("i-0a", 2),), 0))
-    assert made.ready
+    target_catalog = catalog.Catalog(entries.Reader())
+    assert not target_catalog.ready
+    target_catalog.update(0, store_replica.Merge((cookie_parts.config_row(1),), 0))
+    assert not target_catalog.ready
+    target_catalog.update(
+        0, store_replica.Merge((cookie_parts.target_row("i-0a", 2),), 0)
+    )
+    assert target_catalog.ready
 
 
 def test_target_whose_address_another_took_over_ends(
@@ -135,7 +137,7 @@
     row = cookie_parts.target_row("i-0c", 9, born=9000, address="10.128.0.10:8080")
     _update(current, 10, row)
     assert ended == ["i-0a"]
-    assert current.ended(former.cookie)
+    assert current.has_ended(former.cookie)
     assert _names(current) == {"i-0b", "i-0c"}
 
 
@@ -160,23 +162,23 @@
     row = cookie_parts.target_row("i-0c", 9, born=9000, address="10.128.0.10:8080")
     _update(current, 10, row)
     _update(current, 10, cookie_parts.gone_row("i-0a", 10))
-    assert current.ended(former.cookie)
+    assert current.has_ended(former.cookie)
     current.tick(10 + catalog.FORMER_TARGET_RETENTION_MS, confirmed_ms=0)
-    assert not current.ended(former.cookie)
+    assert not current.has_ended(former.cookie)
     assert current.by_cookie(former.cookie) is None
 
 
 def test_address_takeover_is_detected_when_the_config_is_the_last_row() -> None:
     """Guards against a starting VM that depends on the order of the rows it gets."""
     ended: list[str] = []
-    made = catalog.Catalog(entries.Reader())
-    made.on_ended = lambda target: ended.append(target.name)
+    target_catalog = catalog.Catalog(entries.Reader())
+    target_catalog.on_ended = lambda target: ended.append(target.name)
     rows = (
         cookie_parts.target_row("i-0a", 2),
         cookie_parts.target_row("i-0c", 9, born=9000, address="10.128.0.10:8080"),
         cookie_parts.config_row(1),
     )
-    made.update(0, knowledge.Merge(rows, 0))
+    target_catalog.update(0, store_replica.Merge(rows, 0))
     assert ended == ["i-0a"]
 
 
@@ -188,9 +190,9 @@
     The entries lapse, although the VM's rows are hardly older than in normal operation.
     """
     rows = (cookie_parts.gone_row("i-0a", 4), cookie_parts.gone_row("i-0b", 5))
-    current.update(3000, knowledge.Merge(rows, catalog.SHORT_OUTAGE_AGE_MS + 1))
+    current.update(3000, store_replica.Merge(rows, catalog.SHORT_OUTAGE_AGE_MS + 1))
     assert _names(current) == {"i-0a", "i-0b"}
-    assert not current.settled
+    assert not current.entries_complete
 
 
 def test_entry_that_lapses_alone_after_a_short_outage_is_dropped(
@@ -199,7 +201,7 @@
     """Guards against flows on a crashed target when rows were 1.5 s old."""
     _update(current, 3000, cookie_parts.gone_row("i-0a", 4), previous_age_ms=1500)
     assert _names(current) == {"i-0b"}
-    assert current.settled
+    assert current.entries_complete
 
 
 def test_entries_that_are_deleted_together_without_outage_are_dropped(
@@ -207,5 +209,5 @@
 ) -> None:
     """Guards against flows on two targets that operators removed at once."""
     rows = (cookie_parts.gone_row("i-0a", 4), cookie_parts.gone_row("i-0b", 5))
-    current.update(3000, knowledge.Merge(rows, 400))
+    current.update(3000, store_replica.Merge(rows, 400))
     assert _names(current) == set()
--- a/tests/test_early.py
+++ b/tests/test_early.py
@@ -55,7 +55,7 @@
     """A server that answers one connection in a thread."""
 
     def __init__(self) -> None:
-        """Start to listen."""
+        """Create a server that listens."""
         self._socket = socket.create_server((HOST, 0))
         self._thread = threading.Thread(target=self._run)
         self._thread.start()
@@ -84,7 +84,7 @@
     """A store that answers two calls with one page each, the configuration first."""
 
     def __init__(self, *rows: source.Row) -> None:
-        """Answer with the given rows."""
+        """Create a store that answers with the given rows."""
         self.requests: list[str] = []
         self._items = [_item(row) for row in rows]
         super().__init__()
@@ -138,7 +138,7 @@
     log: tuple[int, int],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against packets that nobody reads until the libraries are imported.
+    """Guards against packets that are not read until the libraries are imported.
 
     All VMs lose power, and callers' packets arrive while they start again. On a small
     VM the imports take longer than many deadlines.
@@ -164,7 +164,7 @@
     early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(pages.address)
     pages.end()
     assert forwarded_ports == [40_001, 40_002]
-    assert carrier.parts.knowledge.revision == 7
+    assert carrier.parts.replica.revision == 7
     assert "after=op%2Fconfig" in pages.requests[1]
 
 
@@ -190,7 +190,7 @@
     """A store whose link is full, so that its only page arrives in parts."""
 
     def __init__(self, pause_s: float, *rows: source.Row) -> None:
-        """Answer with the given rows, one part after each pause."""
+        """Create a store that sends the rows in parts, one after each pause."""
         self._pause_s = pause_s
         self._items = [_item(row) for row in rows]
         super().__init__()
@@ -208,7 +208,7 @@
     """A server that answers the first request with prepared bytes."""
 
     def __init__(self, raw: bytes) -> None:
-        """Answer with the given bytes."""
+        """Create a server that answers with the given bytes."""
         self._raw = raw
         super().__init__()
 
@@ -221,7 +221,7 @@
     """Stand-in of another VM that answers a VM that lacks rows."""
 
     def __init__(self, *strings: bytes) -> None:
-        """Answer with the given strings, each behind its length."""
+        """Create a stand-in that sends strings, each after its length."""
         super().__init__(
             b"".join(struct.pack(">I", len(item)) + item for item in strings)
         )
@@ -260,7 +260,7 @@
     carrier = _carrier(log[1])
     early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(store.address)
     store.end()
-    assert carrier.parts.knowledge.revision == 7
+    assert carrier.parts.replica.revision == 7
     assert carrier.started
 
 
@@ -275,7 +275,7 @@
     carrier = _carrier(log[1])
     early.StartupForwarder(carrier, data_socket, clock.now_ms()).run(store.address)
     store.end()
-    assert carrier.parts.knowledge.revision == 7
+    assert carrier.parts.replica.revision == 7
 
 
 def test_libraries_are_imported_while_the_store_answers(
@@ -310,9 +310,9 @@
     )
     forwarder.run(_unused())
     peer.end()
-    knowledge = carrier.parts.knowledge
-    assert knowledge.revision == 7
-    assert 300 <= knowledge.age_ms(clock.now_ms()) < 2000
+    replica = carrier.parts.replica
+    assert replica.revision == 7
+    assert 300 <= replica.age_ms(clock.now_ms()) < 2000
     assert forwarder.members == (peers.Member("10.0.0.8", "z1"),)
     assert carrier.started
     assert b"early_read_failed" not in os.read(log[0], 65536)
@@ -330,7 +330,7 @@
     )
     peer.end()
     assert carrier.started
-    assert 9000 <= carrier.parts.knowledge.age_ms(clock.now_ms()) < 9400
+    assert 9000 <= carrier.parts.replica.age_ms(clock.now_ms()) < 9400
     assert b"early_read_failed" in os.read(log[0], 65536)
 
 
@@ -389,7 +389,7 @@
     forwarder.run(pages.address)
     peer.end()
     pages.end()
-    assert carrier.parts.knowledge.revision == 7
+    assert carrier.parts.replica.revision == 7
     assert forwarder.members == ()
 
 
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -127,13 +127,13 @@
 def test_records_of_removed_and_expired_targets_are_deleted(
     outliers: ejection.OutlierEjection,
 ) -> None:
-    """Guards against a table that grows with every target there ever was."""
+    """Guards against a table that grows with every target that ever existed."""
     for vm in range(ejection.MIN_WITNESSES):
         _add_witness(outliers, vm)
-    outliers.keep(START_MS, (COOKIE,))
+    outliers.retain(START_MS, (COOKIE,))
     assert outliers.ejected(START_MS, COOKIE)
-    outliers.keep(START_MS, ())
+    outliers.retain(START_MS, ())
     assert not outliers.ejected(START_MS, COOKIE)
     _add_witness(outliers, 1)
-    outliers.keep(START_MS + ejection.PROBATION_MS, (COOKIE,))
+    outliers.retain(START_MS + ejection.PROBATION_MS, (COOKIE,))
     assert _add_witness(outliers, 1, START_MS + ejection.PROBATION_MS)
