--- a/tests/control_steps.py
+++ b/tests/control_steps.py
@@ -114,7 +114,7 @@
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("nothing from {one} reaches {other}"))
 def cut_one_way(control: Control, one: str, other: str) -> None:
-    control.world.one_way.add((one, other))
+    control.world.one_way_cuts.add((one, other))
 
 
 @pytest_bdd.when("the network heals")
@@ -144,7 +144,9 @@
 
 @pytest_bdd.when("one in twenty datagrams is lost")
 def lossy(control: Control) -> None:
-    control.world.link = control.world.link._replace(loss=0.05, double=0.05)
+    control.world.network = control.world.network._replace(
+        loss_share=0.05, duplicate_share=0.05
+    )
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("the watching VMs of {zone} are killed"))
@@ -221,7 +223,7 @@
 @pytest_bdd.then("every flow is whole")
 def all_whole(control: Control) -> None:
     control.world.run(3000)
-    ends = control.world.ends()
+    ends = control.world.count_ends()
     broken = [item for item in control.world.histories() if item.end.value != "whole"]
     assert broken == [], ends
     assert control.boards <= {item.number for item in control.world.histories()}
--- a/tests/fleet_view.py
+++ b/tests/fleet_view.py
@@ -34,4 +34,7 @@
 
 def monotone(made: world.World) -> bool:
     """Tell whether no VM's sequence ever went back."""
-    return all(vm.in_force == sorted(set(vm.in_force)) for vm in made.vms.values())
+    return all(
+        vm.sequences_in_force == sorted(set(vm.sequences_in_force))
+        for vm in made.vms.values()
+    )
--- a/tests/flow_steps.py
+++ b/tests/flow_steps.py
@@ -156,15 +156,15 @@
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("all {count:d} flows are whole"))
 def all_whole(bench: Bench, count: int) -> None:
-    assert bench.world.ends() == {"whole": count}
+    assert bench.world.count_ends() == {"whole": count}
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("at most {limit:d} flows are broken"))
 def few_broken(bench: Bench, limit: int) -> None:
-    ends = bench.world.ends()
+    ends = bench.world.count_ends()
     assert ends["broken"] <= limit, ends
 
 
 @pytest_bdd.then("every promise holds")
 def promises_hold(bench: Bench) -> None:
-    assert bench.world.breaches() == []
+    assert bench.world.violations() == []
--- a/tests/test_cut.py
+++ b/tests/test_cut.py
@@ -11,7 +11,9 @@
 
     Callers therefore retransmit SYNs.
     """
-    return flow_steps.Bench(world.World(7, world.Link(loss=0.08, double=0.02)))
+    return flow_steps.Bench(
+        world.World(7, world.Network(loss_share=0.08, duplicate_share=0.02))
+    )
 
 
 def test_flow_opened_during_a_partition_keeps_one_target(
@@ -32,8 +34,8 @@
     lossy.world.run(6000)
     lossy.world.heal()
     lossy.world.run(40_000)
-    assert lossy.world.ends() == {"whole": 80}
-    assert lossy.world.breaches() == []
+    assert lossy.world.count_ends() == {"whole": 80}
+    assert lossy.world.violations() == []
 
 
 def test_flows_open_before_a_partition_survive_it(bench: flow_steps.Bench) -> None:
@@ -51,8 +53,8 @@
     bench.world.run(12_000)
     bench.world.heal()
     bench.world.run(30_000)
-    assert bench.world.ends() == {"whole": 60}
-    assert bench.world.breaches() == []
+    assert bench.world.count_ends() == {"whole": 60}
+    assert bench.world.violations() == []
 
 
 def test_partitioned_zone_opens_flows_on_its_own_targets(
@@ -72,5 +74,5 @@
         bench.world.call("desk")
         bench.world.run(50)
     bench.world.run(20_000)
-    assert bench.world.ends() == {"whole": 40}
+    assert bench.world.count_ends() == {"whole": 40}
     assert max(item.first_ms for item in bench.world.histories()) < 1000
--- a/tests/test_datagram.py
+++ b/tests/test_datagram.py
@@ -7,7 +7,7 @@
 # A flow whose default target becomes one of these changes zone, so that its home
 # moves too.
 ELSEWHERE = flow_steps.MORE_TARGETS.replace("zone=z2", "zone=z3")
-LOSSY = world.Link(loss=0.25, double=0.05)
+LOSSY = world.Network(loss_share=0.25, duplicate_share=0.05)
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
     _ask(lossy, 600)
     lossy.world.heal()
     lossy.world.run(30_000)
-    assert lossy.world.breaches() == []
+    assert lossy.world.violations() == []
     assert set(lossy.world.executed().values()) == {1}
 
 
@@ -61,7 +61,7 @@
             lossy.world.run(7)
     del behind.keeper.offer
     lossy.world.run(30_000)
-    assert lossy.world.breaches() == []
+    assert lossy.world.violations() == []
     assert len(lossy.world.executed()) > 200
 
 
@@ -83,4 +83,4 @@
     lossy.world.kill("vm2")
     lossy.edit(lossy.text + ELSEWHERE)
     lossy.world.run(30_000)
-    assert lossy.world.breaches() == []
+    assert lossy.world.violations() == []
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,7 +10,7 @@
         small_world.call("vault")
         small_world.run(20)
     small_world.run(3000)
-    assert small_world.ends() == {"whole": 80}
+    assert small_world.count_ends() == {"whole": 80}
     assert set(small_world.executed().values()) == {1}
 
 
@@ -21,4 +21,4 @@
     small_world.run(1000)
     small_world.kill("vm3")
     small_world.run(15_000)
-    assert small_world.ends() == {"whole": 60}
+    assert small_world.count_ends() == {"whole": 60}
--- a/tests/test_feature_answers.py
+++ b/tests/test_feature_answers.py
@@ -14,7 +14,9 @@
 
 @pytest_bdd.given("a network that loses, doubles and delays packets")
 def bad_network(bench: flow_steps.Bench) -> None:
-    bench.world.link = world.Link(jitter_ms=40.0, loss=0.02, double=0.1)
+    bench.world.network = world.Network(
+        jitter_ms=40.0, loss_share=0.02, duplicate_share=0.1
+    )
 
 
 @pytest_bdd.when(
@@ -30,6 +32,6 @@
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("at most {limit:d} of 100 flows are broken"))
 def share_broken(bench: flow_steps.Bench, limit: int) -> None:
-    ends = bench.world.ends()
+    ends = bench.world.count_ends()
     assert ends.total() > 100
     assert ends["broken"] * 100 <= limit * ends.total(), ends
--- a/tests/test_feature_at_most_once.py
+++ b/tests/test_feature_at_most_once.py
@@ -12,7 +12,7 @@
 
 @pytest_bdd.given("a network that loses and doubles packets")
 def bad_network(bench: flow_steps.Bench) -> None:
-    bench.world.link = world.Link(loss=0.2, double=0.2)
+    bench.world.network = world.Network(loss_share=0.2, duplicate_share=0.2)
 
 
 @pytest_bdd.given("targets that hold two connections each")
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -88,7 +88,7 @@
             if both or other == world.PLATFORM:
                 self.world.cut(zone, other)
             elif other != zone:
-                self.world.one_way.add((zone, other))
+                self.world.one_way_cuts.add((zone, other))
 
     @stateful.rule()
     def heal(self) -> None:
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -23,5 +23,5 @@
     tables.replicator.copies.learn(bench.world.now_ms, key, config.targets["d6"])
     bench.world.call("desk", caller=0, port=port)
     bench.world.run(5000)
-    assert bench.world.ends() == {"whole": 1}
+    assert bench.world.count_ends() == {"whole": 1}
     assert bench.world.histories()[0].target not in ("d6", "d7")
--- a/tests/test_mixed_faults.py
+++ b/tests/test_mixed_faults.py
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         """Start a fleet on a network that drops and duplicates some packets."""
         super().__init__()
-        link = world.Link(loss=0.02, double=0.02)
+        link = world.Network(loss_share=0.02, duplicate_share=0.02)
         self.bench = flow_steps.Bench(world.World(3, link))
         self.turn = 0
         self.call_for(500)
@@ -119,7 +119,7 @@
         """Let all flows end and check the history."""
         # A caller gives up after GIVE_UP_MS without a packet.
         self.bench.world.run(2 * emulated_caller.GIVE_UP_MS)
-        assert self.bench.world.breaches() == []
+        assert self.bench.world.violations() == []
         assert self.bench.world.callers.open_flows == 0
 
 
--- a/tests/test_opener.py
+++ b/tests/test_opener.py
@@ -38,8 +38,8 @@
     """
     overload(slow_world, 4000)
     slow_world.run(12_000)
-    assert set(slow_world.ends()) <= {"whole", "refused"}
-    assert slow_world.ends()["refused"] > 20
+    assert set(slow_world.count_ends()) <= {"whole", "refused"}
+    assert slow_world.count_ends()["refused"] > 20
     assert slow_world.total(message.Counter.FLOWS_WAITED) > 20
     executed = slow_world.executed()
     assert set(executed.values()) == {1}
@@ -117,7 +117,7 @@
         slow_world.run(20)
     slow_world.run(5000)
     times = [item.first_ms for item in slow_world.histories()]
-    assert slow_world.ends() == {"whole": 150}
+    assert slow_world.count_ends() == {"whole": 150}
     assert max(times) < 990
 
 
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -17,8 +17,8 @@
     bench.world.run(100)
     bench.edit(bench.text + flow_steps.MORE_TARGETS.replace("=4", "=9000"))
     bench.world.run(40_000)
-    assert bench.world.ends() == {"whole": 1}
-    assert bench.world.breaches() == []
+    assert bench.world.count_ends() == {"whole": 1}
+    assert bench.world.violations() == []
 
 
 def test_resumed_vm_drops_its_records(bench: flow_steps.Bench) -> None:
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -58,8 +58,8 @@
     del behind.keeper.offer
     bench.world.run(30_000)
     assert bench.world.wrong_deliveries == 0
-    assert bench.world.breaches() == []
-    assert bench.world.ends()["whole"] > 70
+    assert bench.world.violations() == []
+    assert bench.world.count_ends()["whole"] > 70
 
 
 def test_endpoint_is_reused_without_packets_of_its_former_service(
@@ -85,5 +85,5 @@
     del behind.keeper.offer
     bench.world.run(20_000)
     assert bench.world.wrong_deliveries == 0
-    assert bench.world.breaches() == []
+    assert bench.world.violations() == []
     assert bench.world.targets["d9"].executed
--- a/tests/world.py
+++ b/tests/world.py
@@ -41,7 +41,7 @@
 CALLERS = "callers"
 
 
-class Link(typing.NamedTuple):
+class Network(typing.NamedTuple):
     """How datagrams fare between two places.
 
     Attributes:
@@ -53,8 +53,8 @@
 
     delay_ms: float = 0.5
     jitter_ms: float = 1.0
-    loss: float = 0.0
-    double: float = 0.0
+    loss_share: float = 0.0
+    duplicate_share: float = 0.0
 
 
 class Vm:
@@ -68,10 +68,10 @@
         self.alive = True
         self.paused = False
         self.stopped = False
-        self.in_force: list[int] = []
+        self.sequences_in_force: list[int] = []
         self.watcher: watcher.Watcher
-        self.ticking: task.LoopingCall
-        self.waiting: list[message.Event] = []
+        self.tick_loop: task.LoopingCall
+        self.pending_events: list[message.Event] = []
 
 
 class World:
@@ -85,21 +85,21 @@
         recorder: Notes what callers asked and got, and what targets got and did.
     """
 
-    def __init__(self, seed: int = 1, link: Link | None = None) -> None:
+    def __init__(self, seed: int = 1, network: Network | None = None) -> None:
         """Start a world without VMs or targets."""
         self.rng = random.Random(seed)
         self.clock = task.Clock()
         self.clock.rightNow = START_MS / 1000
-        self.link = link or Link()
+        self.network = network or Network()
         self.cuts: set[frozenset[str]] = set()
-        self.one_way: set[tuple[str, str]] = set()
+        self.one_way_cuts: set[tuple[str, str]] = set()
         self.vms: dict[str, Vm] = {}
         self.targets: dict[str, emulated_target.Target] = {}
         self.logs: list[tuple[str, message.Log]] = []
         self.platform = emulated_platform.EmulatedStore(self.clock)
         self.callers = emulated_caller.Callers(random.Random(seed + 1))
         self.policy: typing.Callable[[], placement.Placement] = placement.BoundedHash
-        self.sprayed: collections.Counter[str] = collections.Counter()
+        self.packets_by_vm: collections.Counter[str] = collections.Counter()
         self.dead_targets: set[str] = set()
         self.recorder = recorder.Recorder()
         self._codec = packet.FouCodec()
@@ -178,9 +178,9 @@
         self._addresses[packet.address(f"{me.ip}:6082")] = ("link", name)
         self.list_vm(name)
         self._spread.append(name)
-        vm.ticking = task.LoopingCall(lambda: self.feed(vm, message.Tick()))
-        vm.ticking.clock = self.clock
-        vm.ticking.start(engine.TICK_MS / 1000)
+        vm.tick_loop = task.LoopingCall(lambda: self.feed(vm, message.Tick()))
+        vm.tick_loop.clock = self.clock
+        vm.tick_loop.start(engine.TICK_MS / 1000)
         return vm
 
     def add_fleet(
@@ -206,7 +206,7 @@
         """End a VM without warning; the fabric notices after a while."""
         vm = self.vms[name]
         vm.alive = False
-        vm.ticking.stop()
+        vm.tick_loop.stop()
         vm.watcher.set_active(False)
         self.clock.callLater(fabric_lag_ms / 1000, self._withdraw, name)
 
@@ -223,7 +223,7 @@
 
     def _wake(self, vm: Vm) -> None:
         vm.paused = False
-        waiting, vm.waiting = vm.waiting[-2000:], []
+        waiting, vm.pending_events = vm.pending_events[-2000:], []
         for event in waiting:
             self.feed(vm, event)
 
@@ -239,7 +239,7 @@
     def heal(self) -> None:
         """End all cuts."""
         self.cuts.clear()
-        self.one_way.clear()
+        self.one_way_cuts.clear()
 
     # Rules.
 
@@ -312,11 +312,11 @@
         """Return the flows that have ended."""
         return self.callers.histories
 
-    def ends(self) -> collections.Counter[str]:
+    def count_ends(self) -> collections.Counter[str]:
         """Count ended flows by how they ended."""
         return collections.Counter(item.end.value for item in self.callers.histories)
 
-    def breaches(self) -> list[history.Violation]:
+    def violations(self) -> list[history.Violation]:
         """Check the history of the run so far for every promise."""
         self.recorder.ended(self.callers.histories)
         return history.check(self.recorder.run)
@@ -345,13 +345,15 @@
             return
         if vm.paused:
             if not isinstance(event, message.Tick):
-                vm.waiting.append(event)
+                vm.pending_events.append(event)
             return
         for action in vm.engine.feed(self.now_ms, event):
             self._do(vm, action)
         sequence = vm.engine.keeper.sequence
-        if sequence and (not vm.in_force or vm.in_force[-1] != sequence):
-            vm.in_force.append(sequence)
+        if sequence and (
+            not vm.sequences_in_force or vm.sequences_in_force[-1] != sequence
+        ):
+            vm.sequences_in_force.append(sequence)
 
     def _do(self, vm: Vm, action: message.Action) -> None:
         match action:
@@ -376,8 +378,8 @@
             case message.Stopped():
                 vm.alive = False
                 vm.stopped = True
-                if vm.ticking.running:
-                    vm.ticking.stop()
+                if vm.tick_loop.running:
+                    vm.tick_loop.stop()
                 vm.watcher.set_active(False)
                 self._withdraw(vm.me.name)
 
@@ -401,25 +403,25 @@
         event = message.LinkReceived(vm.me.name, action.payload)
         receiver = self.vms[name]
         self.clock.callLater(
-            self.link.delay_ms * 2 / 1000, lambda: self.feed(receiver, event)
+            self.network.delay_ms * 2 / 1000, lambda: self.feed(receiver, event)
         )
 
     def _apart(self, one: str, other: str) -> bool:
         if one == other:
             return False
-        return frozenset((one, other)) in self.cuts or (one, other) in self.one_way
+        return frozenset((one, other)) in self.cuts or (one, other) in self.one_way_cuts
 
     def _datagram(self, deliver: typing.Callable[[], None]) -> None:
-        if self.rng.random() < self.link.loss:
+        if self.rng.random() < self.network.loss_share:
             return
         self._later(deliver)
-        if self.rng.random() < self.link.double:
+        if self.rng.random() < self.network.duplicate_share:
             self._later(deliver)
 
     def _later(
         self, deliver: typing.Callable[..., None], *arguments: typing.Any
     ) -> None:
-        delay_ms = self.link.delay_ms + self.rng.random() * self.link.jitter_ms
+        delay_ms = self.network.delay_ms + self.rng.random() * self.network.jitter_ms
         self.clock.callLater(delay_ms / 1000, deliver, *arguments)
 
     def _spray(self, place: str) -> Vm | None:
@@ -427,7 +429,7 @@
         if not names:
             return None
         name = self.rng.choice(names)
-        self.sprayed[name] += 1
+        self.packets_by_vm[name] += 1
         return self.vms[name]
 
     def _from_edge(self, place: str, source: packet.Address, payload: bytes) -> None:
