--- a/tests/control_steps.py
+++ b/tests/control_steps.py
@@ -63,7 +63,7 @@
         """Return the VMs of a zone that watch the store."""
         return [
             vm.me.name
-            for vm in fleet_view.running(self.world)
+            for vm in fleet_view.running_vms(self.world)
             if vm.zone == zone and vm.engine.keeper.watching
         ]
 
@@ -78,7 +78,7 @@
 def given_fleet(control: Control, count: int) -> None:
     control.world.add_fleet(count, ZONES)
     control.apply(control.text)
-    control.world.run_until(lambda: fleet_view.agreed(control.world), 10_000)
+    control.world.run_until(lambda: fleet_view.views_agree(control.world), 10_000)
     control.world.run(2000)
     control.old_value = control.world.platform.rows(store.RULES_KEY)[0].value
 
@@ -189,27 +189,27 @@
 @pytest_bdd.when(pytest_bdd.parsers.parse("{name} offers the first rules again"))
 def offer_old(control: Control, name: str) -> None:
     payload = wire.encode(wire.ConfigResponse(control.old_value))
-    for vm in fleet_view.running(control.world):
+    for vm in fleet_view.running_vms(control.world):
         control.world.feed(vm, message.LinkReceived(name, payload))
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("the change is in force within {limit:d} s"))
 def in_force_soon(control: Control, limit: int) -> None:
     control.world.run_until(
-        lambda: fleet_view.in_force(control.world) == {control.sequence},
+        lambda: fleet_view.sequences_in_force(control.world) == {control.sequence},
         limit * 1000 - (control.world.now_ms - control.accepted_ms),
     )
 
 
 @pytest_bdd.then("no VM has gone back")
 def never_back(control: Control) -> None:
-    assert fleet_view.monotone(control.world)
+    assert fleet_view.sequences_never_decrease(control.world)
 
 
 @pytest_bdd.then("the store holds what is in force")
 def store_agrees(control: Control) -> None:
     held = control.stored()
-    for vm in fleet_view.running(control.world):
+    for vm in fleet_view.running_vms(control.world):
         current = vm.engine.keeper.current
         assert current is not None
         assert current.document == held
@@ -217,7 +217,7 @@
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("all views agree within {limit:d} s"))
 def views_agree(control: Control, limit: int) -> None:
-    fleet_view.settle_ms(control.world, limit * 1000)
+    fleet_view.run_until_views_agree(control.world, limit * 1000)
 
 
 @pytest_bdd.then("every flow is whole")
@@ -236,6 +236,6 @@
 
 @pytest_bdd.then("every VM serves with the newest rules")
 def every_vm_newest(control: Control) -> None:
-    for vm in fleet_view.running(control.world):
+    for vm in fleet_view.running_vms(control.world):
         assert vm.engine.membership.me.serves
-    assert fleet_view.in_force(control.world) == {control.sequence}
+    assert fleet_view.sequences_in_force(control.world) == {control.sequence}
--- a/tests/operators.py
+++ b/tests/operators.py
@@ -35,7 +35,7 @@
         self.rng = random.Random(seed)
         self.operations: list[history_config.Operation] = []
         self.in_force: list[history_config.InForce] = []
-        self.unreadable = 0
+        self.failed_reads = 0
         self._edits = 0
         self._busy = True
         self.world.add_fleet(vms, control_steps.ZONES)
@@ -77,7 +77,7 @@
             try:
                 plan = await self._plan(operator, name, text)
             except errors.StoreError:
-                self.unreadable += 1
+                self.failed_reads += 1
                 continue
             await task.deferLater(self.world.clock, self.rng.random() * 0.2, _nothing)
             await self._submit(operator, name, plan)
@@ -129,10 +129,10 @@
 
     def _note_vms(self) -> None:
         for vm in self.world.vms.values():
-            note_in_force(vm, self.world.now_ms, self.in_force)
+            record_in_force(vm, self.world.now_ms, self.in_force)
 
 
-def note_in_force(
+def record_in_force(
     vm: world.Vm, now_ms: int, noted: list[history_config.InForce]
 ) -> None:
     """Note what a VM has in force, when it is new."""
--- a/tests/reach.py
+++ b/tests/reach.py
@@ -11,7 +11,7 @@
 PLATFORM = "platform"
 
 
-class Reach(store.Store):
+class ZoneStore(store.Store):
     """The platform as reached from a zone, which may be cut off from it."""
 
     def __init__(
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -31,19 +31,19 @@
 
     def __init__(self) -> None:
         """Start with an empty history."""
-        self.run = history.History()
+        self.history = history.History()
         self._noted_ends = 0
         self._latest: dict[packet.FlowKey, int] = {}
         self._opened: dict[tuple[packet.FlowKey, int], int] = {}
 
-    def called(
+    def record_call(
         self, now_ms: int, number: int, key: packet.FlowKey, service: str
     ) -> None:
         """Note that a caller opened a flow."""
-        self.run.add(history.Call(now_ms, number, str(key), service))
+        self.history.add(history.Call(now_ms, number, str(key), service))
         self._latest[key] = number
 
-    def sent(self, item: packet.Packet) -> None:
+    def record_opening(self, item: packet.Packet) -> None:
         """Note the sequence numbers with which a caller opens a flow."""
         if item.opens:
             key = item.request_key()
@@ -57,33 +57,33 @@
             return msgspec.json.decode(data, type=emulated_target.Request).number
         return self._opened.get((key, item.sequence // _SPAN), 0)
 
-    def delivered(
+    def record_delivery(
         self, now_ms: int, item: packet.Packet, to: emulated_target.Model
     ) -> None:
         """Note that a packet came to a target."""
         flow = str(item.request_key())
         size = item.payload_bytes
-        self.run.add(
+        self.history.add(
             history.Delivery(
                 now_ms, self._number(item), flow, to.name, to.service, size
             )
         )
 
-    def begun(self, at: emulated_target.Target) -> None:
+    def record_starts(self, at: emulated_target.Target) -> None:
         """Note the work that a target began since the last time."""
         model = at.model
         for item in at.begun:
-            self.run.add(
+            self.history.add(
                 history.Start(
                     item.at_ms, item.number, str(item.flow), model.name, model.service
                 )
             )
         at.begun.clear()
 
-    def ended(self, ends: typing.Sequence[emulated_caller.History]) -> None:
+    def record_ends(self, ends: typing.Sequence[emulated_caller.History]) -> None:
         """Note the flows that ended since the last time."""
         for item in ends[self._noted_ends :]:
-            self.run.add(
+            self.history.add(
                 history.End(
                     item.ended_ms,
                     item.number,
--- a/tests/test_feature_configuration.py
+++ b/tests/test_feature_configuration.py
@@ -52,13 +52,13 @@
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("every VM serves within {limit:d} s"))
 def all_serve(control: control_steps.Control, limit: int) -> None:
-    control.world.run_until(lambda: fleet_view.agreed(control.world), limit * 1000)
+    control.world.run_until(lambda: fleet_view.views_agree(control.world), limit * 1000)
     control_steps.every_vm_newest(control)
 
 
 @pytest_bdd.then("all VMs have the same rules in force")
 def same_rules(control: control_steps.Control) -> None:
-    running = fleet_view.running(control.world)
+    running = fleet_view.running_vms(control.world)
     digests = {vm.engine.keeper.current.digest for vm in running}  # type: ignore[union-attr]
     assert len(digests) == 1
 
@@ -70,7 +70,7 @@
         for vm, item in control.logged("config_refused")
         if item["kind"] == errors.ErrorKind.CONFIG_STALE.value
     ]
-    assert set(stale) >= {vm.me.name for vm in fleet_view.running(control.world)}
+    assert set(stale) >= {vm.me.name for vm in fleet_view.running_vms(control.world)}
 
 
 @pytest_bdd.when("the store is copied")
--- a/tests/test_feature_membership.py
+++ b/tests/test_feature_membership.py
@@ -113,7 +113,7 @@
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("{one} serves and {other} does not"))
 def serves(control: control_steps.Control, one: str, other: str) -> None:
-    for vm in fleet_view.running(control.world):
+    for vm in fleet_view.running_vms(control.world):
         assert one in fleet_view.serving(control.world, vm)
         assert other not in fleet_view.serving(control.world, vm)
 
@@ -151,5 +151,5 @@
     shown: dict[str, int] = {}
     for row in rows:
         shown.update(json.loads(row.value))
-    running = {vm.me.name for vm in fleet_view.running(control.world)}
+    running = {vm.me.name for vm in fleet_view.running_vms(control.world)}
     assert shown == dict.fromkeys(running, control.sequence)
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -42,7 +42,7 @@
         for _ in range(ms // 50):
             self.world.run(50)
             for vm in self.world.vms.values():
-                operators.note_in_force(vm, self.world.now_ms, self.in_force)
+                operators.record_in_force(vm, self.world.now_ms, self.in_force)
 
     @stateful.rule(ms=st.integers(100, 12_000))
     def time_passes(self, ms: int) -> None:
@@ -52,14 +52,14 @@
     @stateful.rule(pick=st.integers(0, 99))
     def kill(self, pick: int) -> None:
         """Kill a VM, as a power failure does."""
-        running = fleet_view.running(self.world)
+        running = fleet_view.running_vms(self.world)
         if len(running) > MIN_VMS:
             self.world.kill(running[pick % len(running)].me.name)
 
     @stateful.rule(pick=st.integers(0, 99))
     def leave(self, pick: int) -> None:
         """Stop a VM as an operator does."""
-        running = fleet_view.running(self.world)
+        running = fleet_view.running_vms(self.world)
         if len(running) > MIN_VMS:
             self.world.leave(running[pick % len(running)].me.name)
 
@@ -73,7 +73,7 @@
     @stateful.rule(pick=st.integers(0, 99), ms=st.integers(200, 6000))
     def pause(self, pick: int, ms: int) -> None:
         """Pause a VM for some time."""
-        running = fleet_view.running(self.world)
+        running = fleet_view.running_vms(self.world)
         if len(running) > 1:
             self.world.pause(running[pick % len(running)].me.name, ms)
 
@@ -136,12 +136,12 @@
     @stateful.invariant()
     def sequences_never_decrease(self) -> None:
         """Check that no VM's sequence decreases."""
-        assert fleet_view.monotone(self.world)
+        assert fleet_view.sequences_never_decrease(self.world)
 
     @stateful.invariant()
     def serves_only_with_rules(self) -> None:
         """Check that no VM serves without a configuration."""
-        for vm in fleet_view.running(self.world):
+        for vm in fleet_view.running_vms(self.world):
             serves = vm.engine.membership.me.serves
             assert not serves or vm.engine.keeper.current is not None
 
@@ -150,23 +150,23 @@
         self.world.heal()
         self.control.faults()
         self._run(6000)
-        fleet_view.settle_ms(self.world, SETTLE_MS)
+        fleet_view.run_until_views_agree(self.world, SETTLE_MS)
         self._run(13_000)
-        assert fleet_view.agreed(self.world)
+        assert fleet_view.views_agree(self.world)
         self._one_configuration()
         self._homes_exist()
-        assert fleet_view.monotone(self.world)
+        assert fleet_view.sequences_never_decrease(self.world)
 
     def _one_configuration(self) -> None:
         held = config.decode(self.world.platform.rows(store.RULES_KEY)[0].value)
-        for vm in fleet_view.running(self.world):
+        for vm in fleet_view.running_vms(self.world):
             current = vm.engine.keeper.current
             assert current is not None
             assert current.document == held
 
     def _homes_exist(self) -> None:
-        names = {vm.me.name for vm in fleet_view.running(self.world)}
-        for vm in fleet_view.running(self.world):
+        names = {vm.me.name for vm in fleet_view.running_vms(self.world)}
+        for vm in fleet_view.running_vms(self.world):
             current = vm.engine.tables.epochs.current
             assert current is not None
             assert set(current.members) == names
--- a/tests/world.py
+++ b/tests/world.py
@@ -167,7 +167,7 @@
         rng = random.Random(self.rng.random())
         runs = engine.Engine(me, seeds, self._codec, self.policy(), rng)
         vm = Vm(runs, me, zone)
-        way = reach.Reach(self.platform, self.cuts, zone)
+        way = reach.ZoneStore(self.platform, self.cuts, zone)
         vm.watcher = watcher.Watcher(
             self.clock, way, zone, lambda event: self.feed(vm, event), rng
         )
@@ -295,7 +295,7 @@
         tcp = owner.protocol == packet.Protocol.TCP
         begin = self.callers.call if tcp else self.callers.ask
         key = begin(self.now_ms, owner.address, request, caller, port)
-        self.recorder.called(self.now_ms, self._numbers, key, service)
+        self.recorder.record_call(self.now_ms, self._numbers, key, service)
         self._flush_callers()
         return key
 
@@ -318,13 +318,13 @@
 
     def violations(self) -> list[history.Violation]:
         """Check the history of the run so far for every promise."""
-        self.recorder.ended(self.callers.histories)
-        return history.check(self.recorder.run)
+        self.recorder.record_ends(self.callers.histories)
+        return history.check(self.recorder.history)
 
     @property
     def wrong_deliveries(self) -> int:
         """Packets that came to a target of another service than was called."""
-        return len(history.NoWrongService().check(self.recorder.run))
+        return len(history.NoWrongService().check(self.recorder.history))
 
     def executed(self) -> collections.Counter[int]:
         """Count how often each request was begun, over all targets."""
@@ -443,9 +443,9 @@
             return
         target = self.targets[name]
         item = self._codec.decode(payload)
-        self.recorder.delivered(self.now_ms, item, target.model)
+        self.recorder.record_delivery(self.now_ms, item, target.model)
         target.receive(self.now_ms, item)
-        self.recorder.begun(target)
+        self.recorder.record_starts(target)
         self._flush_target(name)
 
     def _to_caller(self, payload: bytes) -> None:
@@ -465,7 +465,7 @@
     def _flush_callers(self) -> None:
         outgoing, self.callers.outgoing = self.callers.outgoing, []
         for payload in outgoing:
-            self.recorder.sent(self._codec.decode(payload))
+            self.recorder.record_opening(self._codec.decode(payload))
             self._from_edge(CALLERS, packet.address("10.255.0.1:6080"), payload)
 
     def _tick_edges(self) -> None:
