--- a/tests/control_steps.py
+++ b/tests/control_steps.py
@@ -18,7 +18,7 @@
 ZONES = fleet.ZONES
 
 
-class Control:
+class ControlBench:
     """A fleet, the rules its operators edit, and what a scenario measures."""
 
     def __init__(self) -> None:
@@ -27,9 +27,9 @@
         self.text = fleet.rules_text()
         self.sequence = 0
         self.accepted_ms = 0
-        self.boards: set[int] = set()
-        self.boundary = 0
-        self.old_value = b""
+        self.board_requests: set[int] = set()
+        self.newest_request = 0
+        self.first_rules_value = b""
 
     def apply(self, text: str) -> None:
         """Submit rules as an operator and note when they were accepted."""
@@ -38,28 +38,28 @@
         self.sequence = result.sequence
         self.accepted_ms = self.world.now_ms
 
-    def stored(self) -> config.Document:
+    def stored_document(self) -> config.Document:
         """Return the document that the store holds."""
         return config.decode(self.world.platform.rows(store.RULES_KEY)[0].value)
 
-    def faults(self, **fields: typing.Any) -> None:
+    def set_platform_faults(self, **fields: typing.Any) -> None:
         """Switch faults of the platform."""
         self.world.platform.set_faults(emulated_platform.Faults(**fields))
 
-    def call_for(self, ms: int, every_ms: int = 50) -> None:
+    def open_flows_for(self, ms: int, every_ms: int = 50) -> None:
         """Open short flows to both services for a while."""
         for _ in range(ms // every_ms):
             self.world.call("desk")
             self.world.call("vault")
             self.world.run(every_ms)
 
-    def logged(self, name: str) -> list[tuple[str, dict[str, typing.Any]]]:
+    def logged_events(self, name: str) -> list[tuple[str, dict[str, typing.Any]]]:
         """Return the logged events of one sort, with the VM's name."""
         return [
             (vm, dict(item.fields)) for vm, item in self.world.logs if item.name == name
         ]
 
-    def watchers(self, zone: str) -> list[str]:
+    def watching_vms(self, zone: str) -> list[str]:
         """Return the VMs of a zone that watch the store."""
         return [
             vm.me.name
@@ -69,25 +69,25 @@
 
 
 @pytest.fixture
-def control() -> Control:
+def control() -> ControlBench:
     """A world without VMs, and the rules for it."""
-    return Control()
+    return ControlBench()
 
 
 @pytest_bdd.given(pytest_bdd.parsers.parse("a fleet of {count:d} VMs in three zones"))
-def given_fleet(control: Control, count: int) -> None:
+def given_fleet(control: ControlBench, count: int) -> None:
     control.world.add_fleet(count, ZONES)
     control.apply(control.text)
     control.world.run_until(lambda: fleet_view.views_agree(control.world), 10_000)
     control.world.run(2000)
-    control.old_value = control.world.platform.rows(store.RULES_KEY)[0].value
+    control.first_rules_value = control.world.platform.rows(store.RULES_KEY)[0].value
 
 
 @pytest_bdd.given(pytest_bdd.parsers.parse("{count:d} open boards of {seconds:d} s"))
-def given_boards(control: Control, count: int, seconds: int) -> None:
+def given_boards(control: ControlBench, count: int, seconds: int) -> None:
     for _ in range(count):
         control.world.call("desk", parts=seconds * 10, every_ms=100)
-    control.boards = set(range(1, count + 1))
+    control.board_requests = set(range(1, count + 1))
     control.world.run(500)
 
 
@@ -97,104 +97,104 @@
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{zone} is cut off from the platform"))
-def cut_platform(control: Control, zone: str) -> None:
+def cut_platform(control: ControlBench, zone: str) -> None:
     control.world.cut(zone, world.PLATFORM)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{zone} is cut off from the other zones"))
-def cut_zone(control: Control, zone: str) -> None:
+def cut_zone(control: ControlBench, zone: str) -> None:
     control.world.cut(zone, *(other for other in ZONES if other != zone))
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{zone} is cut off from everything"))
-def cut_all(control: Control, zone: str) -> None:
+def cut_all(control: ControlBench, zone: str) -> None:
     cut_zone(control, zone)
     cut_platform(control, zone)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("nothing from {one} reaches {other}"))
-def cut_one_way(control: Control, one: str, other: str) -> None:
+def cut_one_way(control: ControlBench, one: str, other: str) -> None:
     control.world.one_way_cuts.add((one, other))
 
 
 @pytest_bdd.when("the network heals")
-def heal(control: Control) -> None:
+def heal(control: ControlBench) -> None:
     control.world.heal()
 
 
 @pytest_bdd.when("the platform is down")
-def platform_down(control: Control) -> None:
-    control.faults(outage=True)
+def platform_down(control: ControlBench) -> None:
+    control.set_platform_faults(outage=True)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("the platform answers after {ms:d} ms"))
-def platform_slow(control: Control, ms: int) -> None:
-    control.faults(delay_ms=ms)
+def platform_slow(control: ControlBench, ms: int) -> None:
+    control.set_platform_faults(delay_ms=ms)
 
 
 @pytest_bdd.when("the platform is back")
-def platform_back(control: Control) -> None:
-    control.faults()
+def platform_back(control: ControlBench) -> None:
+    control.set_platform_faults()
 
 
 @pytest_bdd.when("all watches go mute")
-def mute(control: Control) -> None:
+def mute(control: ControlBench) -> None:
     control.world.platform.mute_watches()
 
 
 @pytest_bdd.when("one in twenty datagrams is lost")
-def lossy(control: Control) -> None:
+def lossy(control: ControlBench) -> None:
     control.world.network = control.world.network._replace(
         loss_share=0.05, duplicate_share=0.05
     )
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("the watching VMs of {zone} are killed"))
-def kill_watchers(control: Control, zone: str) -> None:
-    for name in control.watchers(zone):
+def kill_watchers(control: ControlBench, zone: str) -> None:
+    for name in control.watching_vms(zone):
         control.world.kill(name)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{name} is killed"))
-def kill(control: Control, name: str) -> None:
+def kill(control: ControlBench, name: str) -> None:
     control.world.kill(name)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{name} is paused for {seconds:d} s"))
-def pause(control: Control, name: str, seconds: int) -> None:
+def pause(control: ControlBench, name: str, seconds: int) -> None:
     control.world.pause(name, seconds * 1000)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("a VM {name} starts in {zone}"))
-def start(control: Control, name: str, zone: str) -> None:
+def start(control: ControlBench, name: str, zone: str) -> None:
     control.world.add_vm(name, zone)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{seconds:d} s go by"))
-def pass_time(control: Control, seconds: int) -> None:
+def pass_time(control: ControlBench, seconds: int) -> None:
     control.world.run(seconds * 1000)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{seconds:d} s go by with new flows"))
-def pass_time_with_calls(control: Control, seconds: int) -> None:
-    control.call_for(seconds * 1000)
+def pass_time_with_calls(control: ControlBench, seconds: int) -> None:
+    control.open_flows_for(seconds * 1000)
 
 
 @pytest_bdd.when("the operator changes the rules")
-def change_rules(control: Control) -> None:
+def change_rules(control: ControlBench) -> None:
     control.text += f"# change after {control.sequence}\n"
     control.apply(control.text)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{name} offers the first rules again"))
-def offer_old(control: Control, name: str) -> None:
-    payload = wire.encode(wire.ConfigResponse(control.old_value))
+def offer_old(control: ControlBench, name: str) -> None:
+    payload = wire.encode(wire.ConfigResponse(control.first_rules_value))
     for vm in fleet_view.running_vms(control.world):
         control.world.feed(vm, message.LinkReceived(name, payload))
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("the change is in force within {limit:d} s"))
-def in_force_soon(control: Control, limit: int) -> None:
+def in_force_soon(control: ControlBench, limit: int) -> None:
     control.world.run_until(
         lambda: fleet_view.sequences_in_force(control.world) == {control.sequence},
         limit * 1000 - (control.world.now_ms - control.accepted_ms),
@@ -202,13 +202,13 @@
 
 
 @pytest_bdd.then("no VM has gone back")
-def never_back(control: Control) -> None:
+def never_back(control: ControlBench) -> None:
     assert fleet_view.sequences_never_decrease(control.world)
 
 
 @pytest_bdd.then("the store holds what is in force")
-def store_agrees(control: Control) -> None:
-    held = control.stored()
+def store_agrees(control: ControlBench) -> None:
+    held = control.stored_document()
     for vm in fleet_view.running_vms(control.world):
         current = vm.engine.keeper.current
         assert current is not None
@@ -216,26 +216,26 @@
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("all views agree within {limit:d} s"))
-def views_agree(control: Control, limit: int) -> None:
+def views_agree(control: ControlBench, limit: int) -> None:
     fleet_view.run_until_views_agree(control.world, limit * 1000)
 
 
 @pytest_bdd.then("every flow is whole")
-def all_whole(control: Control) -> None:
+def all_whole(control: ControlBench) -> None:
     control.world.run(3000)
     ends = control.world.count_ends()
     broken = [item for item in control.world.histories() if item.end.value != "whole"]
     assert broken == [], ends
-    assert control.boards <= {item.number for item in control.world.histories()}
+    assert control.board_requests <= {item.number for item in control.world.histories()}
 
 
 @pytest_bdd.then("no request ran twice")
-def at_most_once(control: Control) -> None:
+def at_most_once(control: ControlBench) -> None:
     assert set(control.world.executed().values()) <= {1}
 
 
 @pytest_bdd.then("every VM serves with the newest rules")
-def every_vm_newest(control: Control) -> None:
+def every_vm_newest(control: ControlBench) -> None:
     for vm in fleet_view.running_vms(control.world):
         assert vm.engine.membership.me.serves
     assert fleet_view.sequences_in_force(control.world) == {control.sequence}
--- a/tests/flow_steps.py
+++ b/tests/flow_steps.py
@@ -18,7 +18,7 @@
 target u2 ratio 127.0.12.2:5555 zone=z2 slots=2  # asked by Chiara
 target u3 ratio 127.0.12.3:5555 zone=z3 slots=2  # asked by Chiara
 """
-MORE_TARGETS = """\
+ADDED_TARGETS = """\
 target d8 desk 127.0.10.8:5555 zone=z1 slots=2 weight=4  # asked by Wanjiru
 target v4 vault 127.0.11.4:5555 zone=z2 slots=2 weight=4  # asked by Otieno
 target u4 ratio 127.0.12.4:5555 zone=z2 slots=2 weight=4  # asked by Chiara
@@ -31,19 +31,19 @@
 """
 
 
-class Bench:
+class FlowBench:
     """A world with the rules text that its operators edit."""
 
     def __init__(self, made: world.World) -> None:
         """Put the rules in force on a fleet of eight VMs."""
         self.world = made
         self.text = fleet.rules_text() + UDP_RULES
-        self.joined = 8
+        self.vms_started = 8
         made.add_fleet(8)
         made.apply(self.text)
         made.run(4000)
 
-    def port(
+    def find_port(
         self,
         name: str,
         fits: typing.Callable[[epoch.Location], bool],
@@ -65,38 +65,40 @@
         if not self.world.callers.calls(flow_key(owner, port)):
             self.world.call(name, caller=0, port=port, **request)
 
-    def edit(self, text: str) -> None:
+    def submit_rules(self, text: str) -> None:
         """Submit a changed rules text."""
         self.text = text
         self.world.apply(text)
 
-    def join(self, zone: str = "z1") -> str:
+    def start_vm(self, zone: str = "z1") -> str:
         """Start one more VM and return its name."""
-        self.joined += 1
-        name = f"vm{self.joined}"
+        self.vms_started += 1
+        name = f"vm{self.vms_started}"
         self.world.add_vm(name, zone)
         return name
 
-    def replace_all(self) -> None:
+    def replace_all_vms(self) -> None:
         """Start a new VM for each old one, which then leaves."""
         for name in [item.me.name for item in self.world.vms.values()]:
-            self.join(self.world.vms[name].zone)
+            self.start_vm(self.world.vms[name].zone)
             self.world.run(2500)
             self.world.leave(name)
             self.world.run(1500)
 
-    def replace_in_place(self, name: str) -> None:
+    def replace_vm_in_place(self, name: str) -> None:
         """Kill a VM and start another one under its address."""
         old = self.world.vms[name].me
         self.world.kill(name, fabric_lag_ms=0)
         self.world.run(200)
-        self.joined += 1
-        self.world.add_vm(f"vm{self.joined}", old.zone, ip=old.ip)
+        self.vms_started += 1
+        self.world.add_vm(f"vm{self.vms_started}", old.zone, ip=old.ip)
 
-    def reweigh(self) -> None:
+    def change_weights(self) -> None:
         """Give targets of each service another weight."""
         text = self.text.replace("weight=4", "weight=1")
-        self.edit(text.replace("12.2:5555 zone=z2", "12.2:5555 zone=z2 weight=9"))
+        self.submit_rules(
+            text.replace("12.2:5555 zone=z2", "12.2:5555 zone=z2 weight=9")
+        )
 
 
 def flow_key(owner: service.Service, port: int) -> packet.FlowKey:
@@ -105,31 +107,31 @@
     return packet.FlowKey(owner.protocol, caller, port, *owner.address)
 
 
-CHANGES: dict[str, typing.Callable[[Bench], None]] = {
+CHANGES: dict[str, typing.Callable[[FlowBench], None]] = {
     "nothing": lambda bench: None,
     "vm2 leaves": lambda bench: bench.world.leave("vm2"),
     "vm5 leaves": lambda bench: bench.world.leave("vm5"),
-    "a VM joins": lambda bench: typing.cast(None, bench.join()),
-    "a VM joins z2": lambda bench: typing.cast(None, bench.join("z2")),
-    "all VMs are replaced": Bench.replace_all,
-    "targets drain": lambda bench: bench.edit(bench.text + DRAINS),
-    "weights change": Bench.reweigh,
-    "targets are added": lambda bench: bench.edit(bench.text + MORE_TARGETS),
+    "a VM joins": lambda bench: typing.cast(None, bench.start_vm()),
+    "a VM joins z2": lambda bench: typing.cast(None, bench.start_vm("z2")),
+    "all VMs are replaced": FlowBench.replace_all_vms,
+    "targets drain": lambda bench: bench.submit_rules(bench.text + DRAINS),
+    "weights change": FlowBench.change_weights,
+    "targets are added": lambda bench: bench.submit_rules(bench.text + ADDED_TARGETS),
     "vm2 is killed": lambda bench: bench.world.kill("vm2"),
     "vm5 is killed": lambda bench: bench.world.kill("vm5"),
     "vm2 pauses": lambda bench: bench.world.pause("vm2", 30_000),
-    "vm2 is replaced in place": lambda bench: bench.replace_in_place("vm2"),
+    "vm2 is replaced in place": lambda bench: bench.replace_vm_in_place("vm2"),
 }
 
 
 @pytest.fixture
-def bench() -> Bench:
+def bench() -> FlowBench:
     """Eight VMs in three zones, with two TCP services and one over UDP."""
-    return Bench(world.World(seed=7))
+    return FlowBench(world.World(seed=7))
 
 
 @pytest_bdd.given(pytest_bdd.parsers.parse("{count:d} open flows of {seconds:d} s"))
-def open_flows(bench: Bench, count: int, seconds: int) -> None:
+def open_flows(bench: FlowBench, count: int, seconds: int) -> None:
     # Boards tick on; downloads are larger and come in fewer parts.
     for _ in range(count // 2):
         bench.world.call("desk", parts=seconds * 4, every_ms=250)
@@ -139,32 +141,32 @@
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{first} and {second} at once"))
-def two_changes(bench: Bench, first: str, second: str) -> None:
+def two_changes(bench: FlowBench, first: str, second: str) -> None:
     CHANGES[first](bench)
     CHANGES[second](bench)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("this happens: {change}"))
-def one_change(bench: Bench, change: str) -> None:
+def one_change(bench: FlowBench, change: str) -> None:
     CHANGES[change](bench)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{seconds:d} s pass"))
-def pass_time(bench: Bench, seconds: int) -> None:
+def pass_time(bench: FlowBench, seconds: int) -> None:
     bench.world.run(seconds * 1000)
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("all {count:d} flows are whole"))
-def all_whole(bench: Bench, count: int) -> None:
+def all_whole(bench: FlowBench, count: int) -> None:
     assert bench.world.count_ends() == {"whole": count}
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("at most {limit:d} flows are broken"))
-def few_broken(bench: Bench, limit: int) -> None:
+def few_broken(bench: FlowBench, limit: int) -> None:
     ends = bench.world.count_ends()
     assert ends["broken"] <= limit, ends
 
 
 @pytest_bdd.then("every promise holds")
-def promises_hold(bench: Bench) -> None:
+def promises_hold(bench: FlowBench) -> None:
     assert bench.world.violations() == []
--- a/tests/operators.py
+++ b/tests/operators.py
@@ -30,7 +30,7 @@
             wait_s: Longest wait of an operator between two edits.
         """
         self._wait_s = wait_s
-        self.control = control_steps.Control()
+        self.control = control_steps.ControlBench()
         self.world = self.control.world
         self.rng = random.Random(seed)
         self.operations: list[history_config.Operation] = []
@@ -47,9 +47,9 @@
     def run(self, steps: int) -> history_config.History:
         """Switch faults at random for some steps, end them, return the history."""
         for _ in range(steps):
-            self.control.faults(**self._draw())
+            self.control.set_platform_faults(**self._draw())
             self.world.run(self.rng.randrange(200, 1500))
-        self.control.faults()
+        self.control.set_platform_faults()
         self.world.run(2000)
         self._busy = False
         self.world.run(8000)
--- a/tests/test_cut.py
+++ b/tests/test_cut.py
@@ -6,18 +6,18 @@
 
 
 @pytest.fixture
-def lossy() -> flow_steps.Bench:
+def lossy() -> flow_steps.FlowBench:
     """Return a bench whose network drops and duplicates packets.
 
     Callers therefore retransmit SYNs.
     """
-    return flow_steps.Bench(
+    return flow_steps.FlowBench(
         world.World(7, world.Network(loss_share=0.08, duplicate_share=0.02))
     )
 
 
 def test_flow_opened_during_a_partition_keeps_one_target(
-    lossy: flow_steps.Bench,
+    lossy: flow_steps.FlowBench,
 ) -> None:
     """A reset by a second target must not end a flow that the first one serves.
 
@@ -38,7 +38,7 @@
     assert lossy.world.violations() == []
 
 
-def test_flows_open_before_a_partition_survive_it(bench: flow_steps.Bench) -> None:
+def test_flows_open_before_a_partition_survive_it(bench: flow_steps.FlowBench) -> None:
     """A VM must not reset a flow whose target is on the other side.
 
     Packets that reach a VM on the wrong side can't reach their target. The VM
@@ -58,7 +58,7 @@
 
 
 def test_partitioned_zone_opens_flows_on_its_own_targets(
-    bench: flow_steps.Bench,
+    bench: flow_steps.FlowBench,
 ) -> None:
     """A zone must detect that the targets of other zones are out of reach.
 
--- a/tests/test_datagram.py
+++ b/tests/test_datagram.py
@@ -6,24 +6,24 @@
 
 # A flow whose default target becomes one of these changes zone, so that its home
 # moves too.
-ELSEWHERE = flow_steps.MORE_TARGETS.replace("zone=z2", "zone=z3")
+ELSEWHERE = flow_steps.ADDED_TARGETS.replace("zone=z2", "zone=z3")
 LOSSY = world.Network(loss_share=0.25, duplicate_share=0.05)
 
 
 @pytest.fixture
-def lossy() -> flow_steps.Bench:
+def lossy() -> flow_steps.FlowBench:
     """Return a bench whose network makes callers retransmit many datagrams."""
-    return flow_steps.Bench(world.World(1, LOSSY))
+    return flow_steps.FlowBench(world.World(1, LOSSY))
 
 
-def _ask(bench: flow_steps.Bench, count: int) -> None:
+def _ask(bench: flow_steps.FlowBench, count: int) -> None:
     for _ in range(count):
         bench.world.call("ratio")
         bench.world.run(10)
 
 
 def test_datagram_repeated_on_both_sides_of_a_partition_runs_once(
-    lossy: flow_steps.Bench,
+    lossy: flow_steps.FlowBench,
 ) -> None:
     """A request must not run again on the other side of a partition.
 
@@ -39,7 +39,7 @@
 
 
 def test_datagram_repeated_to_a_vm_with_old_rules_runs_once(
-    lossy: flow_steps.Bench,
+    lossy: flow_steps.FlowBench,
 ) -> None:
     """A VM with old rules must not run a request again on another target.
 
@@ -52,7 +52,7 @@
     assert old is not None
     service = old.config.services["ratio"]
     behind.keeper.offer = lambda *_: None  # type: ignore[method-assign]
-    lossy.edit(lossy.text + ELSEWHERE)
+    lossy.submit_rules(lossy.text + ELSEWHERE)
     lossy.world.run(500)
     for port in range(2000, 5000):
         key = flow_steps.flow_key(service, port)
@@ -66,7 +66,7 @@
 
 
 def test_datagram_repeated_after_its_home_died_runs_once(
-    lossy: flow_steps.Bench,
+    lossy: flow_steps.FlowBench,
 ) -> None:
     """A request that a dead home started must not run again on another target.
 
@@ -81,6 +81,6 @@
             lossy.world.call("ratio", caller=0, port=port)
     lossy.world.run(12)
     lossy.world.kill("vm2")
-    lossy.edit(lossy.text + ELSEWHERE)
+    lossy.submit_rules(lossy.text + ELSEWHERE)
     lossy.world.run(30_000)
     assert lossy.world.violations() == []
--- a/tests/test_feature_answers.py
+++ b/tests/test_feature_answers.py
@@ -13,7 +13,7 @@
 
 
 @pytest_bdd.given("a network that loses, doubles and delays packets")
-def bad_network(bench: flow_steps.Bench) -> None:
+def bad_network(bench: flow_steps.FlowBench) -> None:
     bench.world.network = world.Network(
         jitter_ms=40.0, loss_share=0.02, duplicate_share=0.1
     )
@@ -22,7 +22,7 @@
 @pytest_bdd.when(
     pytest_bdd.parsers.parse("callers use a few ports again and again while {change}")
 )
-def reuse_ports(bench: flow_steps.Bench, change: str) -> None:
+def reuse_ports(bench: flow_steps.FlowBench, change: str) -> None:
     for turn in range(500):
         if turn == 150:
             flow_steps.CHANGES[change](bench)
@@ -31,7 +31,7 @@
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("at most {limit:d} of 100 flows are broken"))
-def share_broken(bench: flow_steps.Bench, limit: int) -> None:
+def share_broken(bench: flow_steps.FlowBench, limit: int) -> None:
     ends = bench.world.count_ends()
     assert ends.total() > 100
     assert ends["broken"] * 100 <= limit * ends.total(), ends
--- a/tests/test_feature_at_most_once.py
+++ b/tests/test_feature_at_most_once.py
@@ -11,19 +11,19 @@
 
 
 @pytest_bdd.given("a network that loses and doubles packets")
-def bad_network(bench: flow_steps.Bench) -> None:
+def bad_network(bench: flow_steps.FlowBench) -> None:
     bench.world.network = world.Network(loss_share=0.2, duplicate_share=0.2)
 
 
 @pytest_bdd.given("targets that hold two connections each")
-def small_targets(bench: flow_steps.Bench) -> None:
+def small_targets(bench: flow_steps.FlowBench) -> None:
     # Fewer than the rules say, so that only the targets themselves refuse.
     for target in bench.world.targets.values():
         target.model = target.model._replace(connections=2)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("callers keep calling while {change}"))
-def keep_calling(bench: flow_steps.Bench, change: str) -> None:
+def keep_calling(bench: flow_steps.FlowBench, change: str) -> None:
     for turn in range(150):
         if turn == 50:
             flow_steps.CHANGES[change](bench)
@@ -32,21 +32,21 @@
 
 
 @pytest_bdd.then("no request ran twice")
-def none_twice(bench: flow_steps.Bench) -> None:
+def none_twice(bench: flow_steps.FlowBench) -> None:
     executed = bench.world.executed()
     assert len(executed) > 50
     assert set(executed.values()) == {1}
 
 
 @pytest_bdd.when("callers open more boards than the targets hold")
-def open_too_many(bench: flow_steps.Bench) -> None:
+def open_too_many(bench: flow_steps.FlowBench) -> None:
     for _ in range(60):
         bench.world.call("desk", parts=40, every_ms=250)
         bench.world.run(20)
 
 
 @pytest_bdd.then("some flows are refused, none of which ran")
-def some_refused(bench: flow_steps.Bench) -> None:
+def some_refused(bench: flow_steps.FlowBench) -> None:
     executed = bench.world.executed()
     turned_away = [
         item for item in bench.world.histories() if item.end.value != "whole"
--- a/tests/test_feature_configuration.py
+++ b/tests/test_feature_configuration.py
@@ -33,58 +33,58 @@
 
 
 @pytest_bdd.given("the platform holds rules and is down")
-def rules_behind_outage(control: control_steps.Control) -> None:
+def rules_behind_outage(control: control_steps.ControlBench) -> None:
     control.apply(control.text)
-    control.faults(outage=True)
+    control.set_platform_faults(outage=True)
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{count:d} VMs start at once"))
-def start_all(control: control_steps.Control, count: int) -> None:
+def start_all(control: control_steps.ControlBench, count: int) -> None:
     control.world.add_fleet(count, control_steps.ZONES)
 
 
 @pytest_bdd.then("no VM serves")
-def none_serves(control: control_steps.Control) -> None:
+def none_serves(control: control_steps.ControlBench) -> None:
     for vm in control.world.vms.values():
         assert vm.engine.membership.me.state is member.MemberState.JOINING
         assert vm.engine.keeper.current is None
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("every VM serves within {limit:d} s"))
-def all_serve(control: control_steps.Control, limit: int) -> None:
+def all_serve(control: control_steps.ControlBench, limit: int) -> None:
     control.world.run_until(lambda: fleet_view.views_agree(control.world), limit * 1000)
     control_steps.every_vm_newest(control)
 
 
 @pytest_bdd.then("all VMs have the same rules in force")
-def same_rules(control: control_steps.Control) -> None:
+def same_rules(control: control_steps.ControlBench) -> None:
     running = fleet_view.running_vms(control.world)
     digests = {vm.engine.keeper.current.digest for vm in running}  # type: ignore[union-attr]
     assert len(digests) == 1
 
 
 @pytest_bdd.then("older rules were refused and logged")
-def refusals_logged(control: control_steps.Control) -> None:
+def refusals_logged(control: control_steps.ControlBench) -> None:
     stale = [
         vm
-        for vm, item in control.logged("config_refused")
+        for vm, item in control.logged_events("config_refused")
         if item["kind"] == errors.ErrorKind.CONFIG_STALE.value
     ]
     assert set(stale) >= {vm.me.name for vm in fleet_view.running_vms(control.world)}
 
 
 @pytest_bdd.when("the store is copied")
-def copy_store(control: control_steps.Control) -> None:
+def copy_store(control: control_steps.ControlBench) -> None:
     control.world.platform.save()
 
 
 @pytest_bdd.when("the store is restored from the copy")
-def restore_store(control: control_steps.Control) -> None:
+def restore_store(control: control_steps.ControlBench) -> None:
     control.world.platform.restore()
 
 
 @pytest_bdd.when("the store is restored and an operator is first to change it")
-def restore_and_change(control: control_steps.Control) -> None:
+def restore_and_change(control: control_steps.ControlBench) -> None:
     # Slow answers to the watchers stand for the time in which the operator
     # gets in front of them.
     control.world.platform.mute_watches()
@@ -93,7 +93,7 @@
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("the value in the store becomes {value}"))
-def overwrite(control: control_steps.Control, value: str) -> None:
+def overwrite(control: control_steps.ControlBench, value: str) -> None:
     put = store.Put(store.RULES_KEY, value.encode())
     control.world.platform.write((), (put,))
 
@@ -103,8 +103,8 @@
         "a change is held up for {seconds:d} s and reported as not accepted"
     )
 )
-def held_up(control: control_steps.Control, seconds: int) -> None:
-    control.faults(lost_answers=1, late_ms=seconds * 1000)
+def held_up(control: control_steps.ControlBench, seconds: int) -> None:
+    control.set_platform_faults(lost_answers=1, late_ms=seconds * 1000)
     operator = change.Operator(control.world.platform, "ben")
     text = f"{control.text}# held up\n"
     plan = control.world.wait(operator.plan(text, control.world.now_ms))
@@ -122,7 +122,7 @@
     rates: dict[int, Rate], few: int, many: int, seconds: int, limit: int
 ) -> None:
     for count in (few, many):
-        control = control_steps.Control()
+        control = control_steps.ControlBench()
         control_steps.given_fleet(control, count)
         platform = control.world.platform
         platform.calls.clear()
--- a/tests/test_feature_drain.py
+++ b/tests/test_feature_drain.py
@@ -13,37 +13,41 @@
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("the operator drains {name}"))
-def drain(control: control_steps.Control, name: str) -> None:
+def drain(control: control_steps.ControlBench, name: str) -> None:
     control.apply(f"{control.text}drain {name}  # asked by Wanjiru\n")
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("the operator removes {name}"))
-def remove(control: control_steps.Control, name: str) -> None:
+def remove(control: control_steps.ControlBench, name: str) -> None:
     lines = control.text.splitlines()
     kept = [line for line in lines if not line.startswith(f"target {name} ")]
     control.apply("\n".join(kept) + "\n")
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("the flows of {name} are counted"))
-def count(control: control_steps.Control, name: str) -> None:
-    control.boundary = max(control.world.executed())
+def count(control: control_steps.ControlBench, name: str) -> None:
+    control.newest_request = max(control.world.executed())
     assert control.world.targets[name].executed
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("{name} has got no new flow since"))
-def no_new_flow(control: control_steps.Control, name: str) -> None:
+def no_new_flow(control: control_steps.ControlBench, name: str) -> None:
     executed = control.world.targets[name].executed
-    late = [number for number in executed if number > control.boundary]
+    late = [number for number in executed if number > control.newest_request]
     assert late == []
-    assert max(control.world.executed()) > control.boundary + 50
+    assert max(control.world.executed()) > control.newest_request + 50
 
 
 @pytest_bdd.then(
     pytest_bdd.parsers.parse("{name} is said to be empty after its last flow")
 )
-def said_empty(control: control_steps.Control, name: str) -> None:
+def said_empty(control: control_steps.ControlBench, name: str) -> None:
     control.world.run(flow.LINGER_MS + 5000)
-    told = {vm for vm, item in control.logged("target_empty") if item["target"] == name}
+    told = {
+        vm
+        for vm, item in control.logged_events("target_empty")
+        if item["target"] == name
+    }
     running = {vm.me.name for vm in control.world.vms.values() if vm.alive}
     assert told >= running
 
@@ -53,7 +57,7 @@
         "the trail tells that {name} was empty, not before its last flow ended"
     )
 )
-def trail_tells(control: control_steps.Control, name: str) -> None:
+def trail_tells(control: control_steps.ControlBench, name: str) -> None:
     operator = change.Operator(control.world.platform, "auditor")
     trail = control.world.wait(operator.audit())
     told = [
--- a/tests/test_fleet_state.py
+++ b/tests/test_fleet_state.py
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         """Start the fleet and wait until it serves."""
         super().__init__()
-        self.control = control_steps.Control()
+        self.control = control_steps.ControlBench()
         control_steps.given_fleet(self.control, 6)
         self.world = self.control.world
         self.in_force: list[history_config.InForce] = []
@@ -98,7 +98,7 @@
     @stateful.rule(fault=st.sampled_from([{}, {"outage": True}, {"delay_ms": 300}]))
     def platform(self, fault: dict[str, typing.Any]) -> None:
         """Let the platform fail, slow down or recover."""
-        self.control.faults(**fault)
+        self.control.set_platform_faults(**fault)
 
     @stateful.rule()
     def mute_watches(self) -> None:
@@ -148,7 +148,7 @@
     def teardown(self) -> None:
         """End all faults; check that the fleet converges."""
         self.world.heal()
-        self.control.faults()
+        self.control.set_platform_faults()
         self._run(6000)
         fleet_view.run_until_views_agree(self.world, SETTLE_MS)
         self._run(13_000)
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -4,7 +4,7 @@
 
 
 def test_outdated_copy_sends_no_new_flow_to_a_drained_target(
-    bench: flow_steps.Bench,
+    bench: flow_steps.FlowBench,
 ) -> None:
     """A copy that outlives its flow must not place a new flow on a drained target.
 
@@ -13,8 +13,8 @@
     reuses its port. A new flow that followed the copy would be cut when the
     target stops.
     """
-    port = bench.port("desk", lambda place: place.home == "vm2")
-    bench.edit(bench.text + flow_steps.DRAINS)
+    port = bench.find_port("desk", lambda place: place.home == "vm2")
+    bench.submit_rules(bench.text + flow_steps.DRAINS)
     bench.world.run(6000)
     tables = bench.world.vms["vm2"].engine.tables
     assert tables.epochs.current is not None
--- a/tests/test_mixed_faults.py
+++ b/tests/test_mixed_faults.py
@@ -35,7 +35,7 @@
         """Start a fleet on a network that drops and duplicates some packets."""
         super().__init__()
         link = world.Network(loss_share=0.02, duplicate_share=0.02)
-        self.bench = flow_steps.Bench(world.World(3, link))
+        self.bench = flow_steps.FlowBench(world.World(3, link))
         self.turn = 0
         self.call_for(500)
 
@@ -82,7 +82,7 @@
     def join(self, zone: str, gap_ms: int) -> None:
         """Start a VM, up to ``MAX_VMS``."""
         if len(self.running()) < MAX_VMS:
-            self.bench.join(zone)
+            self.bench.start_vm(zone)
         self.call_for(gap_ms)
 
     @stateful.rule(number=st.integers(0, 9), pause_ms=st.sampled_from(PAUSES_MS))
@@ -104,7 +104,7 @@
     def edit(self, change: str) -> None:
         """Change the rules as an operator does."""
         bench = self.bench
-        drains, more = flow_steps.DRAINS, flow_steps.MORE_TARGETS
+        drains, more = flow_steps.DRAINS, flow_steps.ADDED_TARGETS
         text = bench.text.replace(drains, "").replace(more, "")
         edits: dict[str, typing.Callable[[], str]] = {
             "drain": lambda: text + drains,
@@ -112,7 +112,7 @@
             "weigh": lambda: text.replace("weight=4 ", "weight=3 "),
             "add": lambda: text + more,
         }
-        bench.edit(edits[change]())
+        bench.submit_rules(edits[change]())
         self.call_for(300)
 
     def teardown(self) -> None:
--- a/tests/test_reuse.py
+++ b/tests/test_reuse.py
@@ -20,7 +20,7 @@
 
 
 def test_address_of_a_removed_service_is_refused_at_first(
-    bench: flow_steps.Bench,
+    bench: flow_steps.FlowBench,
 ) -> None:
     """Callers of a new service must not reach the targets of a removed one.
 
@@ -30,15 +30,15 @@
     """
     text = _without(bench.text, " vault ")
     with pytest.raises(errors.RulesInvalidError):
-        bench.edit(text + BOOTH)
-    bench.edit(text)
+        bench.submit_rules(text + BOOTH)
+    bench.submit_rules(text)
     bench.world.run(5000)
     with pytest.raises(errors.RulesInvalidError):
-        bench.edit(text + BOOTH)
+        bench.submit_rules(text + BOOTH)
 
 
 def test_address_of_a_removed_service_is_accepted_later(
-    bench: flow_steps.Bench,
+    bench: flow_steps.FlowBench,
 ) -> None:
     """A VM with old rules must not serve an address that is used again.
 
@@ -47,11 +47,11 @@
     """
     text = _without(bench.text, " vault ")
     bench.world.call("vault", parts=200, every_ms=250)
-    bench.edit(text)
+    bench.submit_rules(text)
     bench.world.run(11_000)
     behind = bench.world.vms["vm2"].engine
     behind.keeper.offer = lambda *_: None  # type: ignore[method-assign]
-    bench.edit(text + BOOTH)
+    bench.submit_rules(text + BOOTH)
     for _ in range(100):
         bench.world.call("booth")
         bench.world.run(20)
@@ -63,7 +63,7 @@
 
 
 def test_endpoint_is_reused_without_packets_of_its_former_service(
-    bench: flow_steps.Bench,
+    bench: flow_steps.FlowBench,
 ) -> None:
     """A target that moved to another service must get no packet of the former one.
 
@@ -73,11 +73,11 @@
     for _ in range(20):
         bench.world.call("vault", parts=12, every_ms=250)
         bench.world.run(20)
-    bench.edit(_without(bench.text, "target v1 "))
+    bench.submit_rules(_without(bench.text, "target v1 "))
     bench.world.run(11_000)
     behind = bench.world.vms["vm2"].engine
     behind.keeper.offer = lambda *_: None  # type: ignore[method-assign]
-    bench.edit(bench.text + MOVED)
+    bench.submit_rules(bench.text + MOVED)
     for _ in range(100):
         bench.world.call("desk")
         bench.world.call("vault")
