--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -19,10 +19,10 @@
 """
 RESERVED_BLOCKS = range(100, 200)
 RESERVED_PORT = 6079
-WEIGHTS = (1, 1, 2, 2, 2, 4, 4)
+DESK_WEIGHTS = (1, 1, 2, 2, 2, 4, 4)
 
 
-class Node(typing.NamedTuple):
+class EntryVm(typing.NamedTuple):
     """One entry VM of the demo."""
 
     name: str
@@ -33,7 +33,7 @@
 def rules_text(block: int = 0) -> str:
     """Return the rules of two services with ten targets in three zones."""
     lines = [RULES.rstrip()]
-    for index, weight in enumerate(WEIGHTS):
+    for index, weight in enumerate(DESK_WEIGHTS):
         zone = ZONES[index % 3]
         lines.append(
             f"target d{index + 1} desk 127.{block}.10.{index + 1}:5555 zone={zone} "
@@ -47,10 +47,10 @@
     return "\n".join(lines) + "\n"
 
 
-def nodes(count: int, block: int = 0) -> list[Node]:
+def entry_vms(count: int, block: int = 0) -> list[EntryVm]:
     """Return entry VMs spread over the zones."""
     return [
-        Node(f"vm{index + 1}", ZONES[index % 3], f"127.{block}.1.{index + 1}")
+        EntryVm(f"vm{index + 1}", ZONES[index % 3], f"127.{block}.1.{index + 1}")
         for index in range(count)
     ]
 
@@ -83,17 +83,17 @@
         """
         self.folder = folder
         self.block = block
-        self.platform = f"127.{block}.0.3:23790"
-        self.url = f"http://{self.platform}"
+        self.platform_address = f"127.{block}.0.3:23790"
+        self.platform_url = f"http://{self.platform_address}"
         self.fabric_inside = f"127.{block}.0.2:6080"
         self.fabric_outside = f"127.{block}.0.2:6090"
-        self.nodes = nodes(count, block)
-        self.rules = folder / "rules.txt"
-        self.rules.write_text(rules_text(block))
+        self.entry_vms = entry_vms(count, block)
+        self.rules_path = folder / "rules.txt"
+        self.rules_path.write_text(rules_text(block))
         self.tls: dict[str, str] = {}
-        self.running: dict[str, subprocess.Popen[bytes]] = {}
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}
 
-    def start(self, name: str, *arguments: str) -> subprocess.Popen[bytes]:
+    def start_command(self, name: str, *arguments: str) -> subprocess.Popen[bytes]:
         """Start a command of the product under a name."""
         output = (self.folder / f"{name}.log").open("ab")
         process = subprocess.Popen(
@@ -101,10 +101,10 @@
             stdout=output,
             stderr=subprocess.STDOUT,
         )
-        self.running[name] = process
+        self.processes[name] = process
         return process
 
-    def command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
+    def run_command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
         """Run a command of the product to its end."""
         return subprocess.run(
             [sys.executable, "-m", "eelgrasswick", *arguments],
@@ -114,25 +114,25 @@
             check=False,
         )
 
-    def start_vm(self, node: Node) -> None:
+    def start_vm(self, node: EntryVm) -> None:
         """Start an entry VM and list it at the platform."""
         settings = self.folder / f"{node.name}.ini"
-        settings.write_text(self.settings(node))
-        self.start(node.name, "entry", str(settings))
+        settings.write_text(self.settings_text(node))
+        self.start_command(node.name, "entry", str(settings))
         self.list_vm(node, "live")
 
-    def settings(self, node: Node) -> str:
+    def settings_text(self, node: EntryVm) -> str:
         """Return the settings file of an entry VM."""
-        seeds = ", ".join(f"{item.ip}:6081" for item in self.nodes[:3])
+        seeds = ", ".join(f"{item.ip}:6081" for item in self.entry_vms[:3])
         return (
             f"[vm]\nname = {node.name}\nzone = {node.zone}\nip = {node.ip}\n"
             f"[fabric]\negress = {self.fabric_inside}\n"
             f"[fleet]\nnetworks = 127.{self.block}.1.0/24\nseeds = {seeds}\n"
-            f"[platform]\nurl = {self.url}\ntimeout_ms = 1000\n"
+            f"[platform]\nurl = {self.platform_url}\ntimeout_ms = 1000\n"
             "[log]\nmetrics_interval_s = 2\n" + self.tls.get(node.name, "")
         )
 
-    def list_vm(self, node: Node, state: str) -> None:
+    def list_vm(self, node: EntryVm, state: str) -> None:
         """Change the platform's list of VMs."""
         value = {
             "zone": node.zone,
@@ -142,12 +142,12 @@
             "link_port": 6082,
             "state": state,
         }
-        self.switch({"put": {f"vms/{node.name}": value}})
+        self.set_emulator({"put": {f"vms/{node.name}": value}})
 
-    def switch(self, body: dict[str, typing.Any]) -> None:
+    def set_emulator(self, body: dict[str, typing.Any]) -> None:
         """Throw a switch of the platform's stand-in."""
         request = urllib.request.Request(
-            f"{self.url}/emulator", json.dumps(body).encode(), method="POST"
+            f"{self.platform_url}/emulator", json.dumps(body).encode(), method="POST"
         )
         urllib.request.urlopen(request, timeout=5).read()
 
@@ -155,35 +155,35 @@
         """Wait until the platform's stand-in answers."""
         for _ in range(100):
             try:
-                urllib.request.urlopen(self.url, timeout=1).read()
+                urllib.request.urlopen(self.platform_url, timeout=1).read()
             except OSError:
                 time.sleep(0.1)
             else:
                 return
         raise TimeoutError("platform did not start")
 
-    def stop(self, name: str, how: signal.Signals = signal.SIGTERM) -> None:
+    def send_signal(self, name: str, how: signal.Signals = signal.SIGTERM) -> None:
         """Send a signal to one process."""
-        self.running[name].send_signal(how)
+        self.processes[name].send_signal(how)
 
-    def end(self) -> None:
+    def stop_all(self) -> None:
         """End all processes that still run."""
-        for process in self.running.values():
+        for process in self.processes.values():
             if process.poll() is None:
                 process.terminate()
-        for process in self.running.values():
+        for process in self.processes.values():
             try:
                 process.wait(10)
             except subprocess.TimeoutExpired:
                 process.kill()
 
-    def lines(self, name: str, event: str) -> list[str]:
+    def log_lines(self, name: str, event: str) -> list[str]:
         """Return the log lines of one VM about one sort of event."""
         text = (self.folder / f"{name}.log").read_text()
         return [line for line in text.splitlines() if f"event={event} " in line]
 
 
-def field(line: str, key: str) -> str:
+def log_field(line: str, key: str) -> str:
     """Return the value of a key in a log line."""
     for part in line.split():
         if part.startswith(f"{key}="):
--- a/tests/measure_processes.py
+++ b/tests/measure_processes.py
@@ -73,23 +73,25 @@
         try:
             return _measure(run, count)
         finally:
-            run.end()
+            run.stop_all()
 
 
 def _measure(run: fleet.Fleet, count: int) -> Point:
-    run.start("platform", "standin", "platform", run.platform)
+    run.start_command("platform", "standin", "platform", run.platform_address)
     run.await_platform()
     begun_s = time.monotonic()
-    for node in run.nodes:
+    for node in run.entry_vms:
         run.start_vm(node)
-    applied = run.command("apply", str(run.rules), "--platform", run.url)
+    applied = run.run_command(
+        "apply", str(run.rules_path), "--platform", run.platform_url
+    )
     assert applied.returncode == 0, applied.stderr
     ready_s = _await_rules(run, begun_s)
     time.sleep(SETTLE_S)
-    before = {name: usage(item.pid) for name, item in run.running.items()}
+    before = {name: usage(item.pid) for name, item in run.processes.items()}
     time.sleep(SPAN_S)
-    after = {name: usage(item.pid) for name, item in run.running.items()}
-    names = [node.name for node in run.nodes]
+    after = {name: usage(item.pid) for name, item in run.processes.items()}
+    names = [node.name for node in run.entry_vms]
 
     def share(name: str) -> float:
         return (after[name].cpu_s - before[name].cpu_s) / SPAN_S
@@ -106,7 +108,7 @@
 
 def _await_rules(run: fleet.Fleet, begun_s: float) -> float:
     while time.monotonic() - begun_s < READY_S:
-        if all(run.lines(node.name, "config_in_force") for node in run.nodes):
+        if all(run.log_lines(node.name, "config_in_force") for node in run.entry_vms):
             return time.monotonic() - begun_s
         time.sleep(0.2)
     raise TimeoutError("not all VMs have the rules in force")
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -25,21 +25,22 @@
 
 def in_force(run: fleet.Fleet, name: str, sequence: int) -> bool:
     return any(
-        fleet.field(line, "sequence") == str(sequence)
-        for line in run.lines(name, "config_in_force")
+        fleet.log_field(line, "sequence") == str(sequence)
+        for line in run.log_lines(name, "config_in_force")
     )
 
 
 def counted(run: fleet.Fleet, name: str, metric: str) -> int:
     """Return the latest value of a metric in a VM's log."""
-    lines = run.lines(name, "metrics")
-    return int(fleet.field(lines[-1], metric) or 0) if lines else 0
+    lines = run.log_lines(name, "metrics")
+    return int(fleet.log_field(lines[-1], metric) or 0) if lines else 0
 
 
 def alive(run: fleet.Fleet, name: str) -> bool:
     return any(
-        fleet.field(line, "member") == name and fleet.field(line, "state") == "alive"
-        for line in run.lines(name, "member_changed")
+        fleet.log_field(line, "member") == name
+        and fleet.log_field(line, "state") == "alive"
+        for line in run.log_lines(name, "member_changed")
     )
 
 
@@ -51,13 +52,14 @@
 
 def knows_left(run: fleet.Fleet, name: str, gone: str) -> bool:
     return any(
-        fleet.field(line, "member") == gone and fleet.field(line, "state") == "left"
-        for line in run.lines(name, "member_changed")
+        fleet.log_field(line, "member") == gone
+        and fleet.log_field(line, "state") == "left"
+        for line in run.log_lines(name, "member_changed")
     )
 
 
 def apply(run: fleet.Fleet) -> str:
-    done = run.command("apply", str(run.rules), "--platform", run.url)
+    done = run.run_command("apply", str(run.rules_path), "--platform", run.platform_url)
     assert done.returncode == 0, done.stderr
     return done.stdout
 
@@ -76,10 +78,10 @@
     """Three VMs that have the first configuration in force."""
     made = fleet.Fleet(tmp_path_factory.mktemp("fleet"), 4, block)
     try:
-        made.start("platform", "standin", "platform", made.platform)
+        made.start_command("platform", "standin", "platform", made.platform_address)
         made.await_platform()
-        common = ("--platform", made.url)
-        made.start(
+        common = ("--platform", made.platform_url)
+        made.start_command(
             "fabric",
             "standin",
             "fabric",
@@ -88,25 +90,27 @@
             *common,
         )
         report = str(made.folder / "targets.json")
-        made.start("targets", "standin", "targets", str(made.rules), report, *common)
-        for node in made.nodes[:3]:
+        made.start_command(
+            "targets", "standin", "targets", str(made.rules_path), report, *common
+        )
+        for node in made.entry_vms[:3]:
             made.start_vm(node)
         assert "outcome=accepted" in apply(made)
-        for node in made.nodes[:3]:
+        for node in made.entry_vms[:3]:
             await_serving(made, node.name)
         yield made
     finally:
-        made.end()
+        made.stop_all()
 
 
 def calls(run: fleet.Fleet, name: str) -> list[typing.Any]:
     """Call for a while and return the histories."""
     report = run.folder / f"{name}.json"
-    calling = run.start(
+    calling = run.start_command(
         name,
         "standin",
         "callers",
-        str(run.rules),
+        str(run.rules_path),
         run.fabric_outside,
         str(report),
         *("--rate-per-s", "20", "--duration-s", "2", "--grace-s", "15"),
@@ -124,44 +128,44 @@
 
 def test_show_and_audit_tell_what_is_in_force(run: fleet.Fleet) -> None:
     def shown() -> dict[str, int]:
-        done = run.command("show", "--platform", run.url, "--json")
+        done = run.run_command("show", "--platform", run.platform_url, "--json")
         assert done.returncode == 0, done.stderr
         return {item["vm"]: item["sequence"] for item in json.loads(done.stdout)}
 
     until(lambda: shown() == {"vm1": 1, "vm2": 1, "vm3": 1}, "all reported")
-    audit = run.command("audit", "--platform", run.url, "--json")
+    audit = run.run_command("audit", "--platform", run.platform_url, "--json")
     entries = json.loads(audit.stdout)
     assert [(item["sequence"], item["outcome"]) for item in entries] == [
         (1, "accepted")
     ]
-    plain = run.command("audit", "--platform", run.url)
+    plain = run.run_command("audit", "--platform", run.platform_url)
     assert "outcome=accepted" in plain.stdout
 
 
 def test_show_explains_a_flow_and_a_target(run: fleet.Fleet) -> None:
     source = ("--from", f"127.{run.block}.1.90")
     flow = ("show", "--flow", "tcp/10.9.0.1:4000>10.1.0.1:443", "--json")
-    by_list = run.command(*flow, *source, "--platform", run.url)
+    by_list = run.run_command(*flow, *source, "--platform", run.platform_url)
     assert by_list.returncode == 0, by_list.stderr
     answers = json.loads(by_list.stdout)
     assert {item["default_target"] for item in answers} != {"none"}
     assert any(item["home"] == item["vm"] for item in answers)
-    target = ("show", "--target", "d1", "--vm", f"{run.nodes[0].ip}:6081")
-    by_vm = run.command(*target, *source)
+    target = ("show", "--target", "d1", "--vm", f"{run.entry_vms[0].ip}:6081")
+    by_vm = run.run_command(*target, *source)
     assert "takes new flows by its weight" in by_vm.stdout
-    outsider = run.command(*target, "--from", f"127.{run.block}.7.1")
+    outsider = run.run_command(*target, "--from", f"127.{run.block}.7.1")
     assert outsider.returncode == 6
     assert "vm_silent" in outsider.stderr
-    assert run.command("show", "--flow", "what").returncode == 1
+    assert run.run_command("show", "--flow", "what").returncode == 1
 
 
 def test_dry_run_and_stale_base_change_nothing(run: fleet.Fleet) -> None:
-    text = run.rules.read_text()
-    run.rules.write_text(text + "drain d1  # asked by Otieno\n")
-    common = ("apply", str(run.rules), "--platform", run.url)
-    dry = run.command(*common, "--dry-run")
-    stale = run.command(*common, "--based-on", "0")
-    run.rules.write_text(text)
+    text = run.rules_path.read_text()
+    run.rules_path.write_text(text + "drain d1  # asked by Otieno\n")
+    common = ("apply", str(run.rules_path), "--platform", run.platform_url)
+    dry = run.run_command(*common, "--dry-run")
+    stale = run.run_command(*common, "--based-on", "0")
+    run.rules_path.write_text(text)
     assert dry.returncode == 0
     assert "+drain d1  # asked by Otieno" in dry.stdout
     assert "outcome=dry_run sequence=1" in dry.stdout
@@ -173,15 +177,15 @@
 def test_hangup_is_refused_with_a_line(run: fleet.Fleet) -> None:
     # An operator edits a settings file and sends SIGHUP, as other daemons want
     # it. Ignored in silence, the operator would take the change for done.
-    run.stop("vm2", signal.SIGHUP)
-    until(lambda: bool(run.lines("vm2", "reload_refused")), "refusal")
-    assert run.running["vm2"].poll() is None
+    run.send_signal("vm2", signal.SIGHUP)
+    until(lambda: bool(run.log_lines("vm2", "reload_refused")), "refusal")
+    assert run.processes["vm2"].poll() is None
 
 
 def test_garbage_at_every_port_is_counted_and_survived(run: fleet.Fleet) -> None:
     # Corrupt datagrams and outsiders' connections reach a VM. Were it to end,
     # the flows that it is the home of would stand still.
-    node = run.nodes[0]
+    node = run.entry_vms[0]
     garbage = [b"", b"\x45", b"\xff" * 200, b"\x60" + b"\0" * 60, b"\x45" + b"\0" * 19]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
         sender.bind((f"127.{run.block}.1.99", 0))
@@ -203,8 +207,8 @@
     until(lambda: counted(run, "vm1", "packets_unsupported") >= 1, "unsupported")
     until(lambda: counted(run, "vm1", "messages_invalid") >= 5, "invalid")
     until(lambda: counted(run, "vm1", "packets_unknown_sender") >= 1, "outsider")
-    assert run.lines("vm1", "link_refused")
-    assert run.running["vm1"].poll() is None
+    assert run.log_lines("vm1", "link_refused")
+    assert run.processes["vm1"].poll() is None
 
 
 def test_vm_started_in_an_outage_gets_its_configuration_from_peers(
@@ -212,31 +216,31 @@
 ) -> None:
     # The platform is down when a VM is replaced. Without the peers it would
     # have no rules, and the fabric's packets for it would go nowhere.
-    run.switch({"outage": True})
+    run.set_emulator({"outage": True})
     try:
-        node = run.nodes[3]
+        node = run.entry_vms[3]
         settings = run.folder / "vm4.ini"
-        settings.write_text(run.settings(node))
-        run.start("vm4", "entry", str(settings))
+        settings.write_text(run.settings_text(node))
+        run.start_command("vm4", "entry", str(settings))
         await_serving(run, "vm4")
-        line = run.lines("vm4", "config_in_force")[0]
-        assert fleet.field(line, "source") in {"vm1", "vm2", "vm3"}
+        line = run.log_lines("vm4", "config_in_force")[0]
+        assert fleet.log_field(line, "source") in {"vm1", "vm2", "vm3"}
     finally:
-        run.switch({"outage": False})
+        run.set_emulator({"outage": False})
 
 
 def test_terminated_vm_leaves_and_ends_by_itself(run: fleet.Fleet) -> None:
     # A VM is replaced as planned. It must give up its homes and end, or its
     # supervisor kills it and its flows are taken for lost.
     until(lambda: alive(run, "vm1"), "vm1")
-    process = run.running["vm3"]
-    run.list_vm(run.nodes[2], "leaving")
-    run.stop("vm3")
+    process = run.processes["vm3"]
+    run.list_vm(run.entry_vms[2], "leaving")
+    run.send_signal("vm3")
     assert process.wait(STOP_BOUND_S) == 0
-    assert run.lines("vm3", "vm_stopped")
+    assert run.log_lines("vm3", "vm_stopped")
     until(lambda: knows_left(run, "vm1", "vm3"), "vm1 knows that vm3 left")
     until(lambda: knows_left(run, "vm2", "vm3"), "vm2 knows that vm3 left")
-    run.list_vm(run.nodes[2], "gone")
+    run.list_vm(run.entry_vms[2], "gone")
     assert {item[6] for item in calls(run, "callers2")} == {"whole"}
 
 
@@ -244,7 +248,7 @@
     run: fleet.Fleet, tmp_path: pathlib.Path
 ) -> None:
     settings = tmp_path / "vm1.ini"
-    settings.write_text(run.settings(run.nodes[0]))
-    done = run.command("entry", str(settings))
+    settings.write_text(run.settings_text(run.entry_vms[0]))
+    done = run.run_command("entry", str(settings))
     assert done.returncode == 2
     assert "settings_invalid: [vm]" in done.stderr
--- a/tests/test_process_tls.py
+++ b/tests/test_process_tls.py
@@ -34,24 +34,26 @@
             for name in ("vm1", "vm2", "vm3"):
                 certify(made, name, authority)
             certify(made, "vm4", trustme.CA())
-            made.start("platform", "standin", "platform", made.platform)
+            made.start_command("platform", "standin", "platform", made.platform_address)
             made.await_platform()
-            made.start_vm(made.nodes[0])
-            made.start_vm(made.nodes[1])
-            made.command("apply", str(made.rules), "--platform", made.url)
+            made.start_vm(made.entry_vms[0])
+            made.start_vm(made.entry_vms[1])
+            made.run_command(
+                "apply", str(made.rules_path), "--platform", made.platform_url
+            )
             test_process.await_serving(made, "vm1")
             test_process.await_serving(made, "vm2")
             yield made
         finally:
-            made.end()
+            made.stop_all()
 
 
 def start_unlisted(run: fleet.Fleet, index: int) -> None:
     """Start a VM that the platform does not list."""
-    node = run.nodes[index]
+    node = run.entry_vms[index]
     settings = run.folder / f"{node.name}.ini"
-    settings.write_text(run.settings(node))
-    run.start(node.name, "entry", str(settings))
+    settings.write_text(run.settings_text(node))
+    run.start_command(node.name, "entry", str(settings))
 
 
 def test_configuration_travels_over_tls_to_known_certificates_only(
@@ -60,7 +62,7 @@
     # The platform is down while VMs are replaced, so that configurations come
     # over links alone. One VM has a certificate of another authority; taken in,
     # anyone who can sign for himself could speak as a VM.
-    run.switch({"outage": True})
+    run.set_emulator({"outage": True})
     start_unlisted(run, 2)
     start_unlisted(run, 3)
     test_process.until(
@@ -76,4 +78,4 @@
         "refused link",
     )
     assert not test_process.in_force(run, "vm4", 1)
-    assert any(run.lines(name, "link_refused") for name in refused)
+    assert any(run.log_lines(name, "link_refused") for name in refused)
--- a/tests/test_setting.py
+++ b/tests/test_setting.py
@@ -28,7 +28,7 @@
 @pytest.fixture
 def valid(tmp_path: typing.Any) -> str:
     made = fleet.Fleet(tmp_path, 1)
-    return made.settings(made.nodes[0])
+    return made.settings_text(made.entry_vms[0])
 
 
 def test_settings_of_the_test_fleet_are_accepted(valid: str) -> None:
--- a/tests/whole_path.py
+++ b/tests/whole_path.py
@@ -51,7 +51,7 @@
         try:
             killed_ms = play(run)
         finally:
-            run.end()
+            run.stop_all()
         summary = summarize(run, killed_ms)
         if not summary.passed:
             for log in sorted(run.folder.glob("*.log")):
@@ -63,10 +63,10 @@
 def play(run: fleet.Fleet) -> int:
     """Carry the scene out and return when the VM was killed, in ms."""
     say("starting platform, fabric and targets")
-    run.start("platform", "standin", "platform", run.platform)
+    run.start_command("platform", "standin", "platform", run.platform_address)
     run.await_platform()
-    common = ("--platform", run.url)
-    run.start(
+    common = ("--platform", run.platform_url)
+    run.start_command(
         "fabric",
         "standin",
         "fabric",
@@ -75,21 +75,23 @@
         *common,
     )
     report = str(run.folder / "targets.json")
-    run.start("targets", "standin", "targets", str(run.rules), report, *common)
+    run.start_command(
+        "targets", "standin", "targets", str(run.rules_path), report, *common
+    )
     say(f"starting {VM_COUNT} entry VMs")
-    for node in run.nodes:
+    for node in run.entry_vms:
         run.start_vm(node)
     say(
-        run.command("apply", str(run.rules), *common, "--author", "demo")
+        run.run_command("apply", str(run.rules_path), *common, "--author", "demo")
         .stdout.strip()
         .splitlines()[-1]
     )
     time.sleep(4)
-    callers = run.start(
+    callers = run.start_command(
         "callers",
         "standin",
         "callers",
-        str(run.rules),
+        str(run.rules_path),
         run.fabric_outside,
         str(run.folder / "callers.json"),
         "--rate-per-s",
@@ -101,24 +103,26 @@
     )
     time.sleep(3)
     say("vm2 leaves")
-    run.list_vm(run.nodes[1], "leaving")
-    run.stop("vm2")
+    run.list_vm(run.entry_vms[1], "leaving")
+    run.send_signal("vm2")
     time.sleep(1)
-    run.list_vm(run.nodes[1], "gone")
+    run.list_vm(run.entry_vms[1], "gone")
     time.sleep(3)
     say("target d4 drains")
-    run.rules.write_text(run.rules.read_text() + "drain d4  # asked by Wanjiru\n")
+    run.rules_path.write_text(
+        run.rules_path.read_text() + "drain d4  # asked by Wanjiru\n"
+    )
     say(
-        run.command("apply", str(run.rules), *common, "--author", "demo")
+        run.run_command("apply", str(run.rules_path), *common, "--author", "demo")
         .stdout.strip()
         .splitlines()[-1]
     )
     time.sleep(3)
     say("vm5 is killed")
     killed_ms = time.time_ns() // 1_000_000
-    run.stop("vm5", signal.SIGKILL)
+    run.send_signal("vm5", signal.SIGKILL)
     time.sleep(LISTING_LAG_S)
-    run.list_vm(run.nodes[4], "gone")
+    run.list_vm(run.entry_vms[4], "gone")
     log = run.folder / "callers.log"
     while callers.poll() is None:
         time.sleep(1)
@@ -164,7 +168,7 @@
     """Return max over mean of requests per weight, of the desk's targets."""
     loads = [
         len(targets[f"d{index + 1}"]["executed"]) / weight
-        for index, weight in enumerate(fleet.WEIGHTS)
+        for index, weight in enumerate(fleet.DESK_WEIGHTS)
         if index != 3
     ]
     return round(max(loads) / (sum(loads) / len(loads)), 3)
@@ -173,10 +177,10 @@
 def slowest(run: fleet.Fleet) -> int:
     """Return the longest time until the second change was in force at a VM."""
     times = []
-    for node in run.nodes:
-        for line in run.lines(node.name, "config_in_force"):
-            if fleet.field(line, "sequence") == "2":
-                times.append(int(fleet.field(line, "accepted_ms_ago")))
+    for node in run.entry_vms:
+        for line in run.log_lines(node.name, "config_in_force"):
+            if fleet.log_field(line, "sequence") == "2":
+                times.append(int(fleet.log_field(line, "accepted_ms_ago")))
     return max(times, default=-1)
 
 
