--- a/tests/control_steps.py
+++ b/tests/control_steps.py
@@ -1,4 +1,4 @@
-"""Steps that the features about drains, configuration and membership share."""
+"""Steps that features on drains, configuration and membership share."""
 
 import typing
 
@@ -19,10 +19,21 @@
 
 
 class ControlBench:
-    """A fleet, the rules its operators edit, and what a scenario measures."""
+    """A fleet, the rules that its operators edit and notes of a scenario.
+
+    Attributes:
+        world: The world.
+        text: Rules text of the operators.
+        sequence: Sequence of the change that was accepted last.
+        accepted_ms: Time at which the last change was accepted.
+        board_requests: Numbers of the requests that opened boards.
+        newest_request: Number of the newest request that had begun at a target
+            when a scenario counted flows.
+        first_rules_value: Stored value of the first rules.
+    """
 
     def __init__(self) -> None:
-        """Start with the rules of two services, and no VM."""
+        """Create a world without VMs, and the rules of two services."""
         self.world = world.World(seed=11)
         self.text = fleet.rules_text()
         self.sequence = 0
@@ -32,35 +43,35 @@
         self.first_rules_value = b""
 
     def apply(self, text: str) -> None:
-        """Submit rules as an operator and note when they were accepted."""
+        """Submit rules as an operator; record their sequence and the time."""
         result = self.world.apply(text)
         assert result.outcome is change.Outcome.ACCEPTED
         self.sequence = result.sequence
         self.accepted_ms = self.world.now_ms
 
     def stored_document(self) -> config.Document:
-        """Return the document that the store holds."""
+        """Return the rules document in the platform's store."""
         return config.decode(self.world.platform.rows(store.RULES_KEY)[0].value)
 
     def set_platform_faults(self, **fields: typing.Any) -> None:
-        """Switch faults of the platform."""
+        """Replace the faults of the platform by the given ones."""
         self.world.platform.set_faults(emulated_platform.Faults(**fields))
 
     def open_flows_for(self, ms: int, every_ms: int = 50) -> None:
-        """Open short flows to both services for a while."""
+        """Open a short flow to each of both services at regular intervals."""
         for _ in range(ms // every_ms):
             self.world.call("desk")
             self.world.call("vault")
             self.world.run(every_ms)
 
     def logged_events(self, name: str) -> list[tuple[str, dict[str, typing.Any]]]:
-        """Return the logged events of one sort, with the VM's name."""
+        """Return the name of the VM and the fields for each log of an event."""
         return [
             (vm, dict(item.fields)) for vm, item in self.world.logs if item.name == name
         ]
 
     def watching_vms(self, zone: str) -> list[str]:
-        """Return the VMs of a zone that watch the store."""
+        """Return the names of the running VMs of a zone that watch the store."""
         return [
             vm.me.name
             for vm in fleet_view.running_vms(self.world)
@@ -70,7 +81,7 @@
 
 @pytest.fixture
 def control() -> ControlBench:
-    """A world without VMs, and the rules for it."""
+    """Bench without VMs, and with the rules of two services."""
     return ControlBench()
 
 
@@ -92,7 +103,7 @@
 
 
 @pytest_bdd.when("nothing else happens")
-def nothing() -> None:
+def do_nothing() -> None:
     return
 
 
@@ -138,12 +149,12 @@
 
 
 @pytest_bdd.when("all watches go mute")
-def mute(control: ControlBench) -> None:
+def mute_watches(control: ControlBench) -> None:
     control.world.platform.mute_watches()
 
 
 @pytest_bdd.when("one in twenty datagrams is lost")
-def lossy(control: ControlBench) -> None:
+def lose_datagrams(control: ControlBench) -> None:
     control.world.network = control.world.network._replace(
         loss_share=0.05, duplicate_share=0.05
     )
@@ -187,14 +198,14 @@
 
 
 @pytest_bdd.when(pytest_bdd.parsers.parse("{name} offers the first rules again"))
-def offer_old(control: ControlBench, name: str) -> None:
+def offer_first_rules(control: ControlBench, name: str) -> None:
     payload = wire.encode(wire.ConfigResponse(control.first_rules_value))
     for vm in fleet_view.running_vms(control.world):
         control.world.feed(vm, message.LinkReceived(name, payload))
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("the change is in force within {limit:d} s"))
-def in_force_soon(control: ControlBench, limit: int) -> None:
+def change_in_force(control: ControlBench, limit: int) -> None:
     control.world.run_until(
         lambda: fleet_view.sequences_in_force(control.world) == {control.sequence},
         limit * 1000 - (control.world.now_ms - control.accepted_ms),
@@ -202,17 +213,17 @@
 
 
 @pytest_bdd.then("no VM has gone back")
-def never_back(control: ControlBench) -> None:
+def sequences_increase(control: ControlBench) -> None:
     assert fleet_view.sequences_never_decrease(control.world)
 
 
 @pytest_bdd.then("the store holds what is in force")
-def store_agrees(control: ControlBench) -> None:
-    held = control.stored_document()
+def store_has_rules_in_force(control: ControlBench) -> None:
+    stored = control.stored_document()
     for vm in fleet_view.running_vms(control.world):
         current = vm.engine.keeper.current
         assert current is not None
-        assert current.document == held
+        assert current.document == stored
 
 
 @pytest_bdd.then(pytest_bdd.parsers.parse("all views agree within {limit:d} s"))
@@ -221,7 +232,7 @@
 
 
 @pytest_bdd.then("every flow is whole")
-def all_whole(control: ControlBench) -> None:
+def every_flow_whole(control: ControlBench) -> None:
     control.world.run(3000)
     ends = control.world.count_ends()
     broken = [item for item in control.world.histories() if item.end.value != "whole"]
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Starts the stand-ins and a fleet of entry VMs as processes on loopback."""
+"""A fleet of entry VMs and the stand-ins, as processes on loopback."""
 
 import contextlib
 import json
@@ -12,7 +12,7 @@
 import urllib.request
 
 ZONES = ("z1", "z2", "z3")
-RULES = """\
+SERVICE_RULES = """\
 service desk 10.1.0.1:443 tcp shutdown=2099-12-31 wait_ms=300  # asked by Wanjiru
 service vault 10.1.0.2:443 tcp shutdown=2099-12-31  # asked by Otieno
 limit desk flows=12000  # asked by Wanjiru
@@ -23,7 +23,7 @@
 
 
 class EntryVm(typing.NamedTuple):
-    """One entry VM of the demo."""
+    """Name, zone and address of an entry VM."""
 
     name: str
     zone: str
@@ -31,8 +31,12 @@
 
 
 def rules_text(block: int = 0) -> str:
-    """Return the rules of two services with ten targets in three zones."""
-    lines = [RULES.rstrip()]
+    """Return the rules of two services with ten targets in three zones.
+
+    Args:
+        block: Second byte of the addresses of the targets, 127.BLOCK.x.x.
+    """
+    lines = [SERVICE_RULES.rstrip()]
     for index, weight in enumerate(DESK_WEIGHTS):
         zone = ZONES[index % 3]
         lines.append(
@@ -48,7 +52,7 @@
 
 
 def entry_vms(count: int, block: int = 0) -> list[EntryVm]:
-    """Return entry VMs spread over the zones."""
+    """Return entry VMs in 127.BLOCK/16 that are assigned to the zones in turn."""
     return [
         EntryVm(f"vm{index + 1}", ZONES[index % 3], f"127.{block}.1.{index + 1}")
         for index in range(count)
@@ -59,27 +63,50 @@
 def reserved_block() -> typing.Iterator[int]:
     """Reserve a block of addresses that no other run on this machine uses.
 
-    Two checkouts can be tested at the same time. On the same addresses each
-    run would meet the other's platform and VMs.
+    Two checkouts can be tested at the same time. With the same addresses, each
+    run would reach the platform and the VMs of the other one. A bound UDP
+    socket marks a block as in use.
+
+    Yields:
+        The number of the block; its addresses are 127.BLOCK.x.x.
+
+    Raises:
+        RuntimeError: All blocks are in use.
     """
     for block in RESERVED_BLOCKS:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as held:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as reservation:
             try:
-                held.bind((f"127.{block}.0.1", RESERVED_PORT))
+                reservation.bind((f"127.{block}.0.1", RESERVED_PORT))
             except OSError:
                 continue
             yield block
             return
-    raise RuntimeError("all blocks of addresses are in use")
+    raise RuntimeError(
+        f"all address blocks 127.{RESERVED_BLOCKS.start}.x.x to "
+        f"127.{RESERVED_BLOCKS.stop - 1}.x.x are in use"
+    )
 
 
 class Fleet:
-    """The processes of one run, in one folder."""
+    """The processes of one run, with their settings and logs in one folder.
+
+    Attributes:
+        folder: Folder of the settings, rules, reports and logs.
+        block: Second byte of all addresses of the run.
+        platform_address: Address and port of the platform's stand-in.
+        platform_url: URL of the platform's stand-in.
+        fabric_inside: Address and port of the fabric's stand-in for VMs.
+        fabric_outside: Address and port of the fabric's stand-in for callers.
+        entry_vms: Entry VMs of the run, whether started or not.
+        rules_path: File of the rules.
+        tls: The ``[tls]`` section of the settings by the name of the VM.
+        processes: Started processes by name.
+    """
 
     def __init__(self, folder: pathlib.Path, count: int, block: int = 0) -> None:
         """Prepare a run with ``count`` entry VMs on addresses in 127.BLOCK/16.
 
-        Runs at the same time need blocks of their own.
+        Each of several simultaneous runs needs a block of its own.
         """
         self.folder = folder
         self.block = block
@@ -94,7 +121,10 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
 
     def start_command(self, name: str, *arguments: str) -> subprocess.Popen[bytes]:
-        """Start a command of the product under a name."""
+        """Start a command of eelgrasswick as a process with a name.
+
+        The output goes to the file ``NAME.log`` in the folder of the run.
+        """
         output = (self.folder / f"{name}.log").open("ab")
         process = subprocess.Popen(
             [sys.executable, "-m", "eelgrasswick", *arguments],
@@ -105,7 +135,7 @@
         return process
 
     def run_command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run a command of the product to its end."""
+        """Run a command of eelgrasswick to its end, for at most 30 s."""
         return subprocess.run(
             [sys.executable, "-m", "eelgrasswick", *arguments],
             capture_output=True,
@@ -114,45 +144,49 @@
             check=False,
         )
 
-    def start_vm(self, node: EntryVm) -> None:
-        """Start an entry VM and list it at the platform."""
-        settings = self.folder / f"{node.name}.ini"
-        settings.write_text(self.settings_text(node))
-        self.start_command(node.name, "entry", str(settings))
-        self.list_vm(node, "live")
+    def start_vm(self, vm: EntryVm) -> None:
+        """Write the settings of an entry VM, start it and list it."""
+        settings = self.folder / f"{vm.name}.ini"
+        settings.write_text(self.settings_text(vm))
+        self.start_command(vm.name, "entry", str(settings))
+        self.list_vm(vm, "live")
 
-    def settings_text(self, node: EntryVm) -> str:
-        """Return the settings file of an entry VM."""
+    def settings_text(self, vm: EntryVm) -> str:
+        """Return the text of the settings file of an entry VM."""
         seeds = ", ".join(f"{item.ip}:6081" for item in self.entry_vms[:3])
         return (
-            f"[vm]\nname = {node.name}\nzone = {node.zone}\nip = {node.ip}\n"
+            f"[vm]\nname = {vm.name}\nzone = {vm.zone}\nip = {vm.ip}\n"
             f"[fabric]\negress = {self.fabric_inside}\n"
             f"[fleet]\nnetworks = 127.{self.block}.1.0/24\nseeds = {seeds}\n"
             f"[platform]\nurl = {self.platform_url}\ntimeout_ms = 1000\n"
-            "[log]\nmetrics_interval_s = 2\n" + self.tls.get(node.name, "")
+            "[log]\nmetrics_interval_s = 2\n" + self.tls.get(vm.name, "")
         )
 
-    def list_vm(self, node: EntryVm, state: str) -> None:
-        """Change the platform's list of VMs."""
+    def list_vm(self, vm: EntryVm, state: str) -> None:
+        """Set the state of a VM in the platform's list of VMs."""
         value = {
-            "zone": node.zone,
-            "ip": node.ip,
+            "zone": vm.zone,
+            "ip": vm.ip,
             "data_port": 6080,
             "peer_port": 6081,
             "link_port": 6082,
             "state": state,
         }
-        self.set_emulator({"put": {f"vms/{node.name}": value}})
+        self.set_emulator({"put": {f"vms/{vm.name}": value}})
 
     def set_emulator(self, body: dict[str, typing.Any]) -> None:
-        """Throw a switch of the platform's stand-in."""
+        """Post a change of rows or faults to the platform's stand-in."""
         request = urllib.request.Request(
             f"{self.platform_url}/emulator", json.dumps(body).encode(), method="POST"
         )
         urllib.request.urlopen(request, timeout=5).read()
 
     def await_platform(self) -> None:
-        """Wait until the platform's stand-in answers."""
+        """Wait until the platform's stand-in accepts requests.
+
+        Raises:
+            TimeoutError: The stand-in refuses 100 requests, 0.1 s apart.
+        """
         for _ in range(100):
             try:
                 urllib.request.urlopen(self.platform_url, timeout=1).read()
@@ -160,14 +194,16 @@
                 time.sleep(0.1)
             else:
                 return
-        raise TimeoutError("platform did not start")
+        raise TimeoutError("platform stand-in did not accept 100 requests")
 
-    def send_signal(self, name: str, how: signal.Signals = signal.SIGTERM) -> None:
-        """Send a signal to one process."""
-        self.processes[name].send_signal(how)
+    def send_signal(
+        self, name: str, signal_number: signal.Signals = signal.SIGTERM
+    ) -> None:
+        """Send a signal to the process with a name."""
+        self.processes[name].send_signal(signal_number)
 
     def stop_all(self) -> None:
-        """End all processes that still run."""
+        """Terminate all running processes; kill those that need over 10 s."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.terminate()
@@ -178,13 +214,13 @@
                 process.kill()
 
     def log_lines(self, name: str, event: str) -> list[str]:
-        """Return the log lines of one VM about one sort of event."""
+        """Return the log lines of a process that report one kind of event."""
         text = (self.folder / f"{name}.log").read_text()
         return [line for line in text.splitlines() if f"event={event} " in line]
 
 
 def log_field(line: str, key: str) -> str:
-    """Return the value of a key in a log line."""
+    """Return the value of a key in a log line, or an empty text."""
     for part in line.split():
         if part.startswith(f"{key}="):
             return part.removeprefix(f"{key}=")
--- a/tests/flow_steps.py
+++ b/tests/flow_steps.py
@@ -1,4 +1,4 @@
-"""Steps that the features about flows share."""
+"""Steps and the test bench that the features about flows share."""
 
 import typing
 
@@ -32,10 +32,16 @@
 
 
 class FlowBench:
-    """A world with the rules text that its operators edit."""
+    """A world of eight VMs with the rules text that its operators edit.
+
+    Attributes:
+        world: The world.
+        text: Rules text that was submitted last.
+        vms_started: Number of VMs started so far; names the next one.
+    """
 
     def __init__(self, made: world.World) -> None:
-        """Put the rules in force on a fleet of eight VMs."""
+        """Start eight VMs in a world, submit the rules and run for 4 s."""
         self.world = made
         self.text = fleet.rules_text() + UDP_RULES
         self.vms_started = 8
@@ -49,36 +55,42 @@
         fits: typing.Callable[[epoch.Location], bool],
         start: int = 2000,
     ) -> int:
-        """Return a port of caller 0 whose flow belongs where a test needs it."""
+        """Return a port of caller 0 whose flow has a suitable location.
+
+        Args:
+            name: Name of the service.
+            fits: Returns whether a location is suitable.
+            start: First port to consider.
+        """
         vm = next(item for item in self.world.vms.values() if item.alive)
-        current = vm.engine.tables.epochs.current
-        assert current is not None
-        owner = current.config.services[name]
+        current_epoch = vm.engine.tables.epochs.current
+        assert current_epoch is not None
+        owner = current_epoch.config.services[name]
         for port in range(start, start + 4000):
-            if fits(current.locate(flow_key(owner, port), owner)):
+            if fits(current_epoch.locate(flow_key(owner, port), owner)):
                 return port
-        raise AssertionError("no port fits")
+        raise AssertionError(f"none of 4000 ports from {start} on is suitable")
 
     def call_if_free(self, name: str, port: int, **request: int) -> None:
-        """Call a service from a port of caller 0 that has no open flow."""
+        """Call a service from a port of caller 0 unless the port has a flow."""
         owner = self.world.config().services[name]
         if not self.world.callers.calls(flow_key(owner, port)):
             self.world.call(name, caller=0, port=port, **request)
 
     def submit_rules(self, text: str) -> None:
-        """Submit a changed rules text."""
+        """Submit a changed rules text as an operator."""
         self.text = text
         self.world.apply(text)
 
     def start_vm(self, zone: str = "z1") -> str:
-        """Start one more VM and return its name."""
+        """Start another VM in a zone and return its name."""
         self.vms_started += 1
         name = f"vm{self.vms_started}"
         self.world.add_vm(name, zone)
         return name
 
     def replace_all_vms(self) -> None:
-        """Start a new VM for each old one, which then leaves."""
+        """Replace the VMs one by one: start a new VM, then stop the old one."""
         for name in [item.me.name for item in self.world.vms.values()]:
             self.start_vm(self.world.vms[name].zone)
             self.world.run(2500)
@@ -86,7 +98,7 @@
             self.world.run(1500)
 
     def replace_vm_in_place(self, name: str) -> None:
-        """Kill a VM and start another one under its address."""
+        """Kill a VM and start one of another name at its address."""
         old = self.world.vms[name].me
         self.world.kill(name, fabric_lag_ms=0)
         self.world.run(200)
@@ -94,7 +106,7 @@
         self.world.add_vm(f"vm{self.vms_started}", old.zone, ip=old.ip)
 
     def change_weights(self) -> None:
-        """Give targets of each service another weight."""
+        """Change the weight of targets of each service."""
         text = self.text.replace("weight=4", "weight=1")
         self.submit_rules(
             text.replace("12.2:5555 zone=z2", "12.2:5555 zone=z2 weight=9")
@@ -102,7 +114,7 @@
 
 
 def flow_key(owner: service.Service, port: int) -> packet.FlowKey:
-    """Return the flow of caller 0 from a port to a service."""
+    """Return the key of the flow of caller 0 from a port to a service."""
     caller = bytes((10, 9, 0, 1))
     return packet.FlowKey(owner.protocol, caller, port, *owner.address)
 
@@ -126,13 +138,14 @@
 
 @pytest.fixture
 def bench() -> FlowBench:
-    """Eight VMs in three zones, with two TCP services and one over UDP."""
+    """Bench of eight VMs in three zones, two TCP services and one UDP service."""
     return FlowBench(world.World(seed=7))
 
 
 @pytest_bdd.given(pytest_bdd.parsers.parse("{count:d} open flows of {seconds:d} s"))
 def open_flows(bench: FlowBench, count: int, seconds: int) -> None:
-    # Boards tick on; downloads are larger and come in fewer parts.
+    # Half of the flows are boards with four small parts a second. The others
+    # are downloads with one larger part a second.
     for _ in range(count // 2):
         bench.world.call("desk", parts=seconds * 4, every_ms=250)
         bench.world.call("vault", answer_bytes=4000, parts=seconds, every_ms=1000)
--- a/tests/recorder.py
+++ b/tests/recorder.py
@@ -1,4 +1,4 @@
-"""Writes down the history of a run in virtual time."""
+"""Recording of the history of a run in virtual time."""
 
 import typing
 
@@ -13,8 +13,9 @@
     emulated_target,
 )
 
-# A caller sends far fewer bytes on a flow than this.
-_SPAN = 2**16
+# Distinguishes the flows that use one port in succession by their sequence
+# numbers. A caller sends far fewer bytes on a flow.
+_SEQUENCE_SPAN_BYTES = 2**16
 _OUTCOMES = {
     emulated_caller.End.WHOLE: history.Outcome.WHOLE,
     emulated_caller.End.REFUSED: history.Outcome.REFUSED,
@@ -23,54 +24,67 @@
 
 
 class Recorder:
-    """Turns what the emulators saw into records.
+    """Recorder of calls, deliveries, starts and ends for the invariants.
 
     Attributes:
-        run: The history so far.
+        history: The history so far.
     """
 
     def __init__(self) -> None:
-        """Start with an empty history."""
+        """Create a recorder with an empty history."""
         self.history = history.History()
-        self._noted_ends = 0
-        self._latest: dict[packet.FlowKey, int] = {}
-        self._opened: dict[tuple[packet.FlowKey, int], int] = {}
+        self._recorded_ends = 0
+        self._latest_request: dict[packet.FlowKey, int] = {}
+        self._request_by_sequence: dict[tuple[packet.FlowKey, int], int] = {}
 
     def record_call(
         self, now_ms: int, number: int, key: packet.FlowKey, service: str
     ) -> None:
-        """Note that a caller opened a flow."""
+        """Record that a caller opened a flow.
+
+        Args:
+            now_ms: Present time in milliseconds.
+            number: Number of the request.
+            key: Key of the flow.
+            service: Name of the service.
+        """
         self.history.add(history.Call(now_ms, number, str(key), service))
-        self._latest[key] = number
+        self._latest_request[key] = number
 
     def record_opening(self, item: packet.Packet) -> None:
-        """Note the sequence numbers with which a caller opens a flow."""
+        """Record the initial sequence number of a flow, if a packet opens one."""
         if item.opens:
             key = item.request_key()
-            self._opened[key, item.sequence // _SPAN] = self._latest[key]
-            self._opened[key, item.sequence // _SPAN + 1] = self._latest[key]
+            self._request_by_sequence[key, item.sequence // _SEQUENCE_SPAN_BYTES] = (
+                self._latest_request[key]
+            )
+            self._request_by_sequence[
+                key, item.sequence // _SEQUENCE_SPAN_BYTES + 1
+            ] = self._latest_request[key]
 
-    def _number(self, item: packet.Packet) -> int:
+    def _request_number(self, item: packet.Packet) -> int:
         key = item.request_key()
         if item.protocol == packet.Protocol.UDP:
             data = item.raw[len(item.raw) - item.payload_bytes :]
             return msgspec.json.decode(data, type=emulated_target.Request).number
-        return self._opened.get((key, item.sequence // _SPAN), 0)
+        return self._request_by_sequence.get(
+            (key, item.sequence // _SEQUENCE_SPAN_BYTES), 0
+        )
 
     def record_delivery(
         self, now_ms: int, item: packet.Packet, to: emulated_target.Model
     ) -> None:
-        """Note that a packet came to a target."""
+        """Record that a packet is delivered to a target."""
         flow = str(item.request_key())
         size = item.payload_bytes
         self.history.add(
             history.Delivery(
-                now_ms, self._number(item), flow, to.name, to.service, size
+                now_ms, self._request_number(item), flow, to.name, to.service, size
             )
         )
 
     def record_starts(self, at: emulated_target.Target) -> None:
-        """Note the work that a target began since the last time."""
+        """Record the requests that a target began since the last call."""
         model = at.model
         for item in at.begun:
             self.history.add(
@@ -81,8 +95,12 @@
         at.begun.clear()
 
     def record_ends(self, ends: typing.Sequence[emulated_caller.History]) -> None:
-        """Note the flows that ended since the last time."""
-        for item in ends[self._noted_ends :]:
+        """Record the flows that ended since the last call.
+
+        Args:
+            ends: Histories of all flows that ended so far.
+        """
+        for item in ends[self._recorded_ends :]:
             self.history.add(
                 history.End(
                     item.ended_ms,
@@ -92,7 +110,7 @@
                     item.detail,
                 )
             )
-        self._noted_ends = len(ends)
+        self._recorded_ends = len(ends)
 
 
 def _outcome(item: emulated_caller.History) -> history.Outcome:
--- a/tests/test_feature_configuration.py
+++ b/tests/test_feature_configuration.py
@@ -127,7 +127,7 @@
         platform = control.world.platform
         platform.calls.clear()
         control_steps.change_rules(control)
-        control_steps.in_force_soon(control, limit)
+        control_steps.change_in_force(control, limit)
         begun_ms = control.accepted_ms
         control.world.run(seconds * 1000 - (control.world.now_ms - begun_ms))
         rates[count] = Rate(platform.calls.total(), platform.watching)
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,8 +1,8 @@
-"""Many engines in virtual time, with fakes at their interfaces.
+"""A fleet of engines in virtual time, with fakes at their interfaces.
 
-Not a simulator: one clock, one fake link between any two addresses that
-delays, drops, doubles and cuts, and the emulators of targets, callers and
-platform that the product brings.
+This is not a simulator. It consists of one clock, a fake network that delays,
+drops, duplicates and cuts datagrams between any two addresses, and the
+package's own emulators of targets, callers and the platform.
 """
 
 import collections
@@ -42,13 +42,14 @@
 
 
 class Network(typing.NamedTuple):
-    """How datagrams fare between two places.
+    """Delay, loss and duplication of datagrams between any two places.
 
     Attributes:
-        delay_ms: Shortest delay one way.
-        jitter_ms: Further delay, drawn evenly; it reorders.
-        loss: Share that is lost.
-        double: Share that arrives twice.
+        delay_ms: Shortest one-way delay.
+        jitter_ms: Upper limit of a uniformly distributed delay that is added
+            to each datagram. The jitter reorders datagrams.
+        loss_share: Share of the datagrams that is lost.
+        duplicate_share: Share of the datagrams that arrives twice.
     """
 
     delay_ms: float = 0.5
@@ -58,11 +59,25 @@
 
 
 class Vm:
-    """One entry VM: an engine, its watcher, and whether it runs."""
+    """One entry VM: its engine, its watcher and the state of its process.
 
-    def __init__(self, runs: engine.Engine, me: member.Member, zone: str) -> None:
-        """Keep the engine of a VM in a zone."""
-        self.engine = runs
+    Attributes:
+        engine: Engine of the VM.
+        me: Member record with which the VM starts.
+        zone: Availability zone of the VM.
+        alive: False after the VM is killed or has stopped.
+        paused: True while the VM is frozen.
+        stopped: True after the VM has left the fleet and stopped by itself.
+        sequences_in_force: Sequences of the configurations that the VM has put
+            in force, oldest first.
+        watcher: Watcher that carries out the VM's calls to the store.
+        tick_loop: Loop that feeds ticks to the engine.
+        pending_events: Events that arrive while the VM is paused.
+    """
+
+    def __init__(self, vm_engine: engine.Engine, me: member.Member, zone: str) -> None:
+        """Create a running VM with an engine in a zone."""
+        self.engine = vm_engine
         self.me = me
         self.zone = zone
         self.alive = True
@@ -78,15 +93,20 @@
     """A fleet, its targets, its callers and the platform, in virtual time.
 
     Attributes:
+        network: Conditions of the network between all places.
         cuts: Pairs of places that can't reach each other. A place is a zone,
             ``PLATFORM`` or ``CALLERS``.
-        one_way: Places with another place that nothing from them reaches.
-        logs: All log actions, with the VM's name.
-        recorder: Notes what callers asked and got, and what targets got and did.
+        one_way_cuts: Pairs of a sending place and a place that receives nothing
+            from it.
+        logs: All log actions, each with the name of the VM.
+        packets_by_vm: Number of packets that the fabric has handed to each VM.
+        dead_targets: Names of targets that neither receive nor send.
+        recorder: Records the calls and answers of callers, and the packets and
+            work of targets.
     """
 
     def __init__(self, seed: int = 1, network: Network | None = None) -> None:
-        """Start a world without VMs or targets."""
+        """Create a world without VMs or targets; start its emulators' ticks."""
         self.rng = random.Random(seed)
         self.clock = task.Clock()
         self.clock.rightNow = START_MS / 1000
@@ -105,13 +125,13 @@
         self._codec = packet.FouCodec()
         self._addresses: dict[packet.Address, tuple[str, str]] = {}
         self._target_zones: dict[str, str] = {}
-        self._spread: list[str] = []
-        self._numbers = 0
-        self._loop = task.LoopingCall(self._tick_edges)
-        self._loop.clock = self.clock
-        self._loop.start(0.01)
+        self._fabric_vms: list[str] = []
+        self._last_request_number = 0
+        self._emulator_loop = task.LoopingCall(self._tick_emulators)
+        self._emulator_loop.clock = self.clock
+        self._emulator_loop.start(0.01)
 
-    # Time.
+    # These methods control the virtual time.
 
     @property
     def now_ms(self) -> int:
@@ -119,22 +139,22 @@
         return round(self.clock.seconds() * 1000)
 
     def run(self, ms: int) -> None:
-        """Let time pass."""
+        """Advance the virtual time in steps of ``STEP_MS``."""
         for _ in range(ms // STEP_MS):
             self.clock.advance(STEP_MS / 1000)
 
     def run_until(self, done: typing.Callable[[], bool], limit_ms: int) -> None:
-        """Let time pass until something holds; fail after a limit."""
+        """Advance the virtual time until a condition holds; fail at a limit."""
         for _ in range(limit_ms // 10):
             if done():
                 return
             self.run(10)
-        assert done(), f"not reached within {limit_ms} ms"
+        assert done(), f"condition does not hold within {limit_ms} ms"
 
     def wait(
         self, work: typing.Coroutine[typing.Any, typing.Any, typing.Any]
     ) -> typing.Any:
-        """Run a coroutine to its end and return its result."""
+        """Advance the virtual time until a coroutine ends; return its result."""
         ended: list[typing.Any] = []
         failed: list[typing.Any] = []
         done = defer.Deferred.fromCoroutine(work)
@@ -145,13 +165,13 @@
             self.run(1)
         if failed:
             failed[0].raiseException()
-        assert ended, "work did not end"
+        assert ended, "coroutine did not end within 20000 ms"
         return ended[0]
 
-    # VMs.
+    # These methods start, list, stop and disturb VMs.
 
     def add_vm(self, name: str, zone: str, size: int = 1, ip: str = "") -> Vm:
-        """Start an entry VM."""
+        """Start an entry VM, list it at the platform and send it packets."""
         number = len(self.vms) + 1
         me = member.Member(
             name,
@@ -165,11 +185,11 @@
         )
         seeds = [peer.address_of(item.me) for item in list(self.vms.values())[:3]]
         rng = random.Random(self.rng.random())
-        runs = engine.Engine(me, seeds, self._codec, self.policy(), rng)
-        vm = Vm(runs, me, zone)
-        way = reach.ZoneStore(self.platform, self.cuts, zone)
+        vm_engine = engine.Engine(me, seeds, self._codec, self.policy(), rng)
+        vm = Vm(vm_engine, me, zone)
+        zone_store = reach.ZoneStore(self.platform, self.cuts, zone)
         vm.watcher = watcher.Watcher(
-            self.clock, way, zone, lambda event: self.feed(vm, event), rng
+            self.clock, zone_store, zone, lambda event: self.feed(vm, event), rng
         )
         self.vms[name] = vm
         data = packet.address(f"{me.ip}:6080")
@@ -177,7 +197,7 @@
         self._addresses[peer.address_of(me)] = ("peer", name)
         self._addresses[packet.address(f"{me.ip}:6082")] = ("link", name)
         self.list_vm(name)
-        self._spread.append(name)
+        self._fabric_vms.append(name)
         vm.tick_loop = task.LoopingCall(lambda: self.feed(vm, message.Tick()))
         vm.tick_loop.clock = self.clock
         vm.tick_loop.start(engine.TICK_MS / 1000)
@@ -186,12 +206,12 @@
     def add_fleet(
         self, count: int, zones: typing.Sequence[str] = ("z1", "z2", "z3")
     ) -> None:
-        """Start VMs named vm1, vm2, ... spread over zones."""
+        """Start VMs named vm1, vm2, ... and assign them to zones in turn."""
         for index in range(count):
             self.add_vm(f"vm{index + 1}", zones[index % len(zones)])
 
     def list_vm(self, name: str) -> None:
-        """Put a VM into the platform's list."""
+        """Add a VM to the platform's list of VMs."""
         me = self.vms[name].me
         value = {
             "zone": me.zone,
@@ -203,48 +223,48 @@
         self.platform.write((), (put,))
 
     def kill(self, name: str, fabric_lag_ms: int = 1000) -> None:
-        """End a VM without warning; the fabric notices after a while."""
+        """Kill a VM; the fabric stops sending to it after a lag."""
         vm = self.vms[name]
         vm.alive = False
         vm.tick_loop.stop()
         vm.watcher.set_active(False)
-        self.clock.callLater(fabric_lag_ms / 1000, self._withdraw, name)
+        self.clock.callLater(fabric_lag_ms / 1000, self._remove_from_fabric, name)
 
     def leave(self, name: str, fabric_lag_ms: int = 1000) -> None:
-        """Ask a VM to stop; the fabric follows after a while."""
+        """Ask a VM to stop; the fabric stops sending to it after a lag."""
         self.feed(self.vms[name], message.Leave())
-        self.clock.callLater(fabric_lag_ms / 1000, self._withdraw, name)
+        self.clock.callLater(fabric_lag_ms / 1000, self._remove_from_fabric, name)
 
     def pause(self, name: str, ms: int) -> None:
-        """Freeze a VM; what arrives meanwhile is delivered when it wakes."""
+        """Freeze a VM; it handles the newest 2000 events when it resumes."""
         vm = self.vms[name]
         vm.paused = True
-        self.clock.callLater(ms / 1000, self._wake, vm)
+        self.clock.callLater(ms / 1000, self._resume, vm)
 
-    def _wake(self, vm: Vm) -> None:
+    def _resume(self, vm: Vm) -> None:
         vm.paused = False
-        waiting, vm.pending_events = vm.pending_events[-2000:], []
-        for event in waiting:
+        pending, vm.pending_events = vm.pending_events[-2000:], []
+        for event in pending:
             self.feed(vm, event)
 
-    def _withdraw(self, name: str) -> None:
-        if name in self._spread:
-            self._spread.remove(name)
+    def _remove_from_fabric(self, name: str) -> None:
+        if name in self._fabric_vms:
+            self._fabric_vms.remove(name)
 
     def cut(self, *places: str) -> None:
-        """Cut the first place off from each of the others."""
+        """Cut off the first place from each of the other places."""
         for other in places[1:]:
             self.cuts.add(frozenset((places[0], other)))
 
     def heal(self) -> None:
-        """End all cuts."""
+        """Remove all cuts, including those in one direction."""
         self.cuts.clear()
         self.one_way_cuts.clear()
 
-    # Rules.
+    # These methods change the rules and start the targets that they name.
 
     def apply(self, text: str, author: str = "test") -> change.Result:
-        """Submit rules as an operator; start targets that are new."""
+        """Submit rules as an operator and start an emulator for new targets."""
         operator = change.Operator(self.platform, author)
         plan = self.wait(operator.plan(text, self.now_ms))
         result: change.Result = self.wait(operator.submit(plan))
@@ -252,12 +272,19 @@
         return result
 
     def start_targets(self, text: str, speeds: dict[str, float] | None = None) -> None:
-        """Start an emulated target for each target line that has none."""
+        """Start an emulated target for each target line that has none yet.
+
+        Args:
+            text: Rules text.
+            speeds: Speeds by the name of the target. Other targets have the
+                speed of their weight divided by their slots.
+        """
         for line in rule.parse(text).rules.targets:
             self._target_zones[line.name] = line.zone
             _, former = self._addresses.get(line.endpoint, ("", line.name))
             if former != line.name:
-                # The machine works for another service now.
+                # The endpoint belongs to another target now, so the former
+                # target no longer runs.
                 self.dead_targets.add(former)
             self._addresses[line.endpoint] = ("target", line.name)
             if line.name not in self.targets:
@@ -274,7 +301,7 @@
     def _endpoints(self) -> dict[str, packet.Address]:
         return self.__dict__.setdefault("_endpoint_by_target", {})
 
-    # Callers.
+    # These methods open flows and evaluate what became of them.
 
     def call(
         self,
@@ -286,21 +313,34 @@
         caller: int | None = None,
         port: int | None = None,
     ) -> packet.FlowKey:
-        """Open a flow to a service by its name, over the service's protocol."""
+        """Open a flow to a named service over the protocol of the service.
+
+        Args:
+            service: Name of the service.
+            work_ms: Work of the request at a target of speed 1.
+            answer_bytes: Size of each part of the answer.
+            parts: Number of parts of the answer.
+            every_ms: Time between two parts.
+            caller: Number of the caller; by default, the emulator selects one.
+            port: Port of the caller; by default, the emulator selects one.
+
+        Returns:
+            The key of the flow.
+        """
         owner = self.config().services[service]
-        self._numbers += 1
+        self._last_request_number += 1
         request = emulated_target.Request(
-            self._numbers, service, work_ms, answer_bytes, parts, every_ms
+            self._last_request_number, service, work_ms, answer_bytes, parts, every_ms
         )
         tcp = owner.protocol == packet.Protocol.TCP
         begin = self.callers.call if tcp else self.callers.ask
         key = begin(self.now_ms, owner.address, request, caller, port)
-        self.recorder.record_call(self.now_ms, self._numbers, key, service)
+        self.recorder.record_call(self.now_ms, self._last_request_number, key, service)
         self._flush_callers()
         return key
 
     def config(self) -> config.Config:
-        """Return the newest configuration that any VM has in force."""
+        """Return the newest configuration that is in force at any VM."""
         present = [
             vm.engine.keeper.current
             for vm in self.vms.values()
@@ -309,38 +349,41 @@
         return max(present, key=lambda item: item.sequence)
 
     def histories(self) -> list[emulated_caller.History]:
-        """Return the flows that have ended."""
+        """Return the histories of the flows that have ended."""
         return self.callers.histories
 
     def count_ends(self) -> collections.Counter[str]:
-        """Count ended flows by how they ended."""
+        """Return the number of ended flows by the value of their end."""
         return collections.Counter(item.end.value for item in self.callers.histories)
 
     def violations(self) -> list[history.Violation]:
-        """Check the history of the run so far for every promise."""
+        """Check all invariants on the history of the run so far."""
         self.recorder.record_ends(self.callers.histories)
         return history.check(self.recorder.history)
 
     @property
     def wrong_deliveries(self) -> int:
-        """Packets that came to a target of another service than was called."""
+        """Number of packets delivered to a target of a service not called."""
         return len(history.NoWrongService().check(self.recorder.history))
 
     def executed(self) -> collections.Counter[int]:
-        """Count how often each request was begun, over all targets."""
+        """Return how often targets began each request, by request number."""
         total: collections.Counter[int] = collections.Counter()
         for item in self.targets.values():
             total.update(item.executed)
         return total
 
     def total(self, counter: message.Counter) -> int:
-        """Add a counter up over all VMs."""
+        """Return the sum of a counter over all VMs."""
         return sum(vm.engine.outbox.counts[counter] for vm in self.vms.values())
 
-    # Carrying.
+    # These methods feed events to VMs and carry packets between the places.
 
     def feed(self, vm: Vm, event: message.Event) -> None:
-        """Feed an event to a VM and carry its actions out."""
+        """Feed an event to a VM and carry out the resulting actions.
+
+        A dead VM drops the event. A paused VM queues all events but ticks.
+        """
         if not vm.alive:
             return
         if vm.paused:
@@ -348,24 +391,24 @@
                 vm.pending_events.append(event)
             return
         for action in vm.engine.feed(self.now_ms, event):
-            self._do(vm, action)
+            self._carry_out(vm, action)
         sequence = vm.engine.keeper.sequence
         if sequence and (
             not vm.sequences_in_force or vm.sequences_in_force[-1] != sequence
         ):
             vm.sequences_in_force.append(sequence)
 
-    def _do(self, vm: Vm, action: message.Action) -> None:
+    def _carry_out(self, vm: Vm, action: message.Action) -> None:
         match action:
             case message.SendDatagram():
-                self._carry(vm.zone, action.destination, vm, action.payload)
+                self._send_datagram(vm.zone, action.destination, vm, action.payload)
             case message.SendFabric():
                 if frozenset((vm.zone, CALLERS)) not in self.cuts:
-                    self._later(self._to_caller, action.payload)
+                    self._call_after_delay(self._deliver_to_caller, action.payload)
             case message.SendPeer():
-                self._carry(vm.zone, action.destination, vm, action.payload)
+                self._send_datagram(vm.zone, action.destination, vm, action.payload)
             case message.SendLink():
-                self._carry_link(vm, action)
+                self._send_link(vm, action)
             case (
                 message.WatchStore()
                 | message.ReportInForce()
@@ -381,24 +424,24 @@
                 if vm.tick_loop.running:
                     vm.tick_loop.stop()
                 vm.watcher.set_active(False)
-                self._withdraw(vm.me.name)
+                self._remove_from_fabric(vm.me.name)
 
-    def _carry(
+    def _send_datagram(
         self, zone: str, destination: packet.Address, sender: Vm, payload: bytes
     ) -> None:
         kind, name = self._addresses.get(destination, ("", ""))
         if kind == "peer":
             receiver = self.vms[name]
             source = peer.address_of(sender.me)
-            if not self._apart(zone, receiver.zone):
+            if not self._is_cut_off(zone, receiver.zone):
                 event = message.PeerDatagram(source, payload)
-                self._datagram(lambda: self.feed(receiver, event))
-        elif kind == "target" and not self._apart(zone, self._target_zones[name]):
-            self._datagram(lambda: self._to_target(name, payload))
+                self._deliver_datagram(lambda: self.feed(receiver, event))
+        elif kind == "target" and not self._is_cut_off(zone, self._target_zones[name]):
+            self._deliver_datagram(lambda: self._deliver_to_target(name, payload))
 
-    def _carry_link(self, vm: Vm, action: message.SendLink) -> None:
+    def _send_link(self, vm: Vm, action: message.SendLink) -> None:
         kind, name = self._addresses.get(action.destination, ("", ""))
-        if kind != "link" or self._apart(vm.zone, self.vms[name].zone):
+        if kind != "link" or self._is_cut_off(vm.zone, self.vms[name].zone):
             return
         event = message.LinkReceived(vm.me.name, action.payload)
         receiver = self.vms[name]
@@ -406,39 +449,43 @@
             self.network.delay_ms * 2 / 1000, lambda: self.feed(receiver, event)
         )
 
-    def _apart(self, one: str, other: str) -> bool:
+    def _is_cut_off(self, one: str, other: str) -> bool:
         if one == other:
             return False
         return frozenset((one, other)) in self.cuts or (one, other) in self.one_way_cuts
 
-    def _datagram(self, deliver: typing.Callable[[], None]) -> None:
+    def _deliver_datagram(self, deliver: typing.Callable[[], None]) -> None:
         if self.rng.random() < self.network.loss_share:
             return
-        self._later(deliver)
+        self._call_after_delay(deliver)
         if self.rng.random() < self.network.duplicate_share:
-            self._later(deliver)
+            self._call_after_delay(deliver)
 
-    def _later(
+    def _call_after_delay(
         self, deliver: typing.Callable[..., None], *arguments: typing.Any
     ) -> None:
         delay_ms = self.network.delay_ms + self.rng.random() * self.network.jitter_ms
         self.clock.callLater(delay_ms / 1000, deliver, *arguments)
 
-    def _spray(self, place: str) -> Vm | None:
-        names = [n for n in self._spread if not self._apart(place, self.vms[n].zone)]
+    def _select_vm(self, place: str) -> Vm | None:
+        names = [
+            n for n in self._fabric_vms if not self._is_cut_off(place, self.vms[n].zone)
+        ]
         if not names:
             return None
         name = self.rng.choice(names)
         self.packets_by_vm[name] += 1
         return self.vms[name]
 
-    def _from_edge(self, place: str, source: packet.Address, payload: bytes) -> None:
-        vm = self._spray(place)
+    def _send_to_fabric(
+        self, place: str, source: packet.Address, payload: bytes
+    ) -> None:
+        vm = self._select_vm(place)
         if vm is not None:
             event = message.FabricDatagram(source, payload)
-            self._datagram(lambda: self.feed(vm, event))
+            self._deliver_datagram(lambda: self.feed(vm, event))
 
-    def _to_target(self, name: str, payload: bytes) -> None:
+    def _deliver_to_target(self, name: str, payload: bytes) -> None:
         if name in self.dead_targets:
             return
         target = self.targets[name]
@@ -448,7 +495,7 @@
         self.recorder.record_starts(target)
         self._flush_target(name)
 
-    def _to_caller(self, payload: bytes) -> None:
+    def _deliver_to_caller(self, payload: bytes) -> None:
         refused = packet.refused_flow(payload)
         if refused is not None:
             self.callers.unreachable(self.now_ms, refused)
@@ -460,15 +507,17 @@
         target = self.targets[name]
         outgoing, target.outgoing = target.outgoing, []
         for payload in outgoing:
-            self._from_edge(self._target_zones[name], self._endpoints[name], payload)
+            self._send_to_fabric(
+                self._target_zones[name], self._endpoints[name], payload
+            )
 
     def _flush_callers(self) -> None:
         outgoing, self.callers.outgoing = self.callers.outgoing, []
         for payload in outgoing:
             self.recorder.record_opening(self._codec.decode(payload))
-            self._from_edge(CALLERS, packet.address("10.255.0.1:6080"), payload)
+            self._send_to_fabric(CALLERS, packet.address("10.255.0.1:6080"), payload)
 
-    def _tick_edges(self) -> None:
+    def _tick_emulators(self) -> None:
         for name, target in self.targets.items():
             if name not in self.dead_targets:
                 target.tick(self.now_ms)
