--- a/tests/control_steps.py
+++ b/tests/control_steps.py
@@ -19,7 +19,7 @@
 
 
 class ControlBench:
-    """A fleet, the rules that its operators edit and notes of a scenario.
+    """A fleet, the rules that its operators edit and measurements of a scenario.
 
     Attributes:
         world: The world.
--- a/tests/flow_steps.py
+++ b/tests/flow_steps.py
@@ -181,5 +181,5 @@
 
 
 @pytest_bdd.then("every promise holds")
-def promises_hold(bench: FlowBench) -> None:
+def invariants_hold(bench: FlowBench) -> None:
     assert bench.world.violations() == []
--- a/tests/test_feature_configuration.py
+++ b/tests/test_feature_configuration.py
@@ -15,7 +15,7 @@
 
 # The platform is down or slow, returns an old copy of the rules or is restored
 # from one, while VMs are paused during a change or cut off. The feature guards
-# against an accepted change that never is in force, or that is in force at some
+# against an accepted change that is never in force, or that is in force at some
 # VMs and undone at others.
 pytest_bdd.scenarios("features/configuration.feature")
 
--- a/tests/test_feature_drain.py
+++ b/tests/test_feature_drain.py
@@ -42,15 +42,15 @@
 @pytest_bdd.then(
     pytest_bdd.parsers.parse("{name} is said to be empty after its last flow")
 )
-def said_empty(control: control_steps.ControlBench, name: str) -> None:
+def target_logged_empty(control: control_steps.ControlBench, name: str) -> None:
     control.world.run(flow.LINGER_MS + 5000)
-    told = {
+    reporting_vms = {
         vm
         for vm, item in control.logged_events("target_empty")
         if item["target"] == name
     }
     running = {vm.me.name for vm in control.world.vms.values() if vm.alive}
-    assert told >= running
+    assert reporting_vms >= running
 
 
 @pytest_bdd.then(
@@ -58,15 +58,15 @@
         "the trail tells that {name} was empty, not before its last flow ended"
     )
 )
-def trail_tells(control: control_steps.ControlBench, name: str) -> None:
+def audit_shows_empty_target(control: control_steps.ControlBench, name: str) -> None:
     operator = change.Operator(control.world.platform, "auditor")
-    trail = control.world.wait(operator.audit())
-    told = [
+    entries = control.world.wait(operator.audit())
+    empty_entries = [
         item
-        for item in trail
+        for item in entries
         if item.outcome == change.Outcome.EMPTY.value and name in "".join(item.lines)
     ]
     histories = control.world.histories()
     last_ms = max(item.ended_ms for item in histories if item.target == name)
-    assert len(told) == 1
-    assert told[0].at_ms >= last_ms
+    assert len(empty_entries) == 1
+    assert empty_entries[0].at_ms >= last_ms
--- a/tests/whole_path.py
+++ b/tests/whole_path.py
@@ -101,8 +101,8 @@
         "targets", "standin", "targets", str(run.rules_path), report, *common
     )
     print_progress(f"starting {VM_COUNT} entry VMs")
-    for node in run.entry_vms:
-        run.start_vm(node)
+    for vm in run.entry_vms:
+        run.start_vm(vm)
     print_progress(
         run.run_command("apply", str(run.rules_path), *common, "--author", "demo")
         .stdout.strip()
@@ -211,8 +211,8 @@
         The time since the change was accepted, or -1 if no VM has it in force.
     """
     times = []
-    for node in run.entry_vms:
-        for line in run.log_lines(node.name, "config_in_force"):
+    for vm in run.entry_vms:
+        for line in run.log_lines(vm.name, "config_in_force"):
             if fleet.log_field(line, "sequence") == "2":
                 times.append(int(fleet.log_field(line, "accepted_ms_ago")))
     return max(times, default=-1)
--- a/tests/world.py
+++ b/tests/world.py
@@ -152,12 +152,12 @@
         assert done(), f"condition does not hold within {limit_ms} ms"
 
     def wait(
-        self, work: typing.Coroutine[typing.Any, typing.Any, typing.Any]
+        self, coroutine: typing.Coroutine[typing.Any, typing.Any, typing.Any]
     ) -> typing.Any:
         """Advance the virtual time until a coroutine ends; return its result."""
         ended: list[typing.Any] = []
         failed: list[typing.Any] = []
-        done = defer.Deferred.fromCoroutine(work)
+        done = defer.Deferred.fromCoroutine(coroutine)
         done.addCallbacks(ended.append, failed.append)
         for _ in range(20_000):
             if ended or failed:
@@ -171,7 +171,7 @@
     # These methods start, list, stop and disturb VMs.
 
     def add_vm(self, name: str, zone: str, size: int = 1, ip: str = "") -> Vm:
-        """Start an entry VM, list it at the platform and send it packets."""
+        """Start an entry VM; add it to the platform's list and to the fabric."""
         number = len(self.vms) + 1
         me = member.Member(
             name,
@@ -301,7 +301,7 @@
     def _endpoints(self) -> dict[str, packet.Address]:
         return self.__dict__.setdefault("_endpoint_by_target", {})
 
-    # These methods open flows and evaluate what became of them.
+    # These methods open flows and evaluate how the flows ended.
 
     def call(
         self,
