--- a/tests/test_feature_membership.py
+++ b/tests/test_feature_membership.py
@@ -10,8 +10,8 @@
 
 # Zones are cut off from each other for minutes, in one direction or both, while
 # VMs on either side are killed. The platform's list contains dead VMs and omits
-# live ones. The feature guards against VMs with a wrong membership, which send packets
-# to homes that do not exist, so that boards stop.
+# live ones. The feature guards against VMs with a wrong view of the fleet, which
+# send packets to homes that do not exist, so that boards stop.
 pytest_bdd.scenarios("features/membership.feature")
 
 
