--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -28,22 +28,23 @@
 def in_force(run: fleet.Fleet, name: str, sequence: int) -> bool:
     """Return whether a VM has logged a sequence as in force."""
     return any(
-        fleet.field(line, "sequence") == str(sequence)
-        for line in run.lines(name, "config_in_force")
+        fleet.log_field(line, "sequence") == str(sequence)
+        for line in run.log_lines(name, "config_in_force")
     )
 
 
 def counted(run: fleet.Fleet, name: str, metric: str) -> int:
     """Return the latest value of a metric in a VM's log."""
-    lines = run.lines(name, "metrics")
-    return int(fleet.field(lines[-1], metric) or 0) if lines else 0
+    lines = run.log_lines(name, "metrics")
+    return int(fleet.log_field(lines[-1], metric) or 0) if lines else 0
 
 
 def alive(run: fleet.Fleet, name: str) -> bool:
     """Return whether a VM has logged itself as alive."""
     return any(
-        fleet.field(line, "member") == name and fleet.field(line, "state") == "alive"
-        for line in run.lines(name, "member_changed")
+        fleet.log_field(line, "member") == name
+        and fleet.log_field(line, "state") == "alive"
+        for line in run.log_lines(name, "member_changed")
     )
 
 
@@ -56,14 +57,15 @@
 def has_logged_leave(run: fleet.Fleet, name: str, gone: str) -> bool:
     """Return whether a VM has logged that another one left."""
     return any(
-        fleet.field(line, "member") == gone and fleet.field(line, "state") == "left"
-        for line in run.lines(name, "member_changed")
+        fleet.log_field(line, "member") == gone
+        and fleet.log_field(line, "state") == "left"
+        for line in run.log_lines(name, "member_changed")
     )
 
 
 def apply(run: fleet.Fleet) -> str:
     """Submit the rules file and return the output."""
-    done = run.command("apply", str(run.rules), "--platform", run.url)
+    done = run.run_command("apply", str(run.rules_path), "--platform", run.platform_url)
     assert done.returncode == 0, done.stderr
     return done.stdout
 
@@ -82,10 +84,10 @@
     """Three VMs that have sequence 1 in force; a fourth one is not started."""
     created = fleet.Fleet(tmp_path_factory.mktemp("fleet"), 4, block)
     try:
-        created.start("platform", "standin", "platform", created.platform)
+        created.start_command("platform", "standin", "platform", created.platform_address)
         created.await_platform()
-        common = ("--platform", created.url)
-        created.start(
+        common = ("--platform", created.platform_url)
+        created.start_command(
             "fabric",
             "standin",
             "fabric",
@@ -94,27 +96,27 @@
             *common,
         )
         report = str(created.folder / "targets.json")
-        created.start(
-            "targets", "standin", "targets", str(created.rules), report, *common
+        created.start_command(
+            "targets", "standin", "targets", str(created.rules_path), report, *common
         )
-        for node in created.nodes[:3]:
+        for node in created.entry_vms[:3]:
             created.start_vm(node)
         assert "outcome=accepted" in apply(created)
-        for node in created.nodes[:3]:
+        for node in created.entry_vms[:3]:
             await_serving(created, node.name)
         yield created
     finally:
-        created.end()
+        created.stop_all()
 
 
 def run_callers(run: fleet.Fleet, name: str) -> list[typing.Any]:
     """Run callers for 2 s and return the history of each flow."""
     report = run.folder / f"{name}.json"
-    callers = run.start(
+    callers = run.start_command(
         name,
         "standin",
         "callers",
-        str(run.rules),
+        str(run.rules_path),
         run.fabric_outside,
         str(report),
         *("--rate-per-s", "20", "--duration-s", "2", "--grace-s", "15"),
@@ -135,17 +137,17 @@
     """Guards against an operator who can't see where a change is in force."""
 
     def shown() -> dict[str, int]:
-        done = run.command("show", "--platform", run.url, "--json")
+        done = run.run_command("show", "--platform", run.platform_url, "--json")
         assert done.returncode == 0, done.stderr
         return {item["vm"]: item["sequence"] for item in json.loads(done.stdout)}
 
     until(lambda: shown() == {"vm1": 1, "vm2": 1, "vm3": 1}, "all reported")
-    audit = run.command("audit", "--platform", run.url, "--json")
+    audit = run.run_command("audit", "--platform", run.platform_url, "--json")
     entries = json.loads(audit.stdout)
     assert [(item["sequence"], item["outcome"]) for item in entries] == [
         (1, "accepted")
     ]
-    plain = run.command("audit", "--platform", run.url)
+    plain = run.run_command("audit", "--platform", run.platform_url)
     assert "outcome=accepted" in plain.stdout
 
 
@@ -153,28 +155,28 @@
     """Guards against missing explanations, and responses to untrusted addresses."""
     source = ("--from", f"127.{run.block}.1.90")
     flow = ("show", "--flow", "tcp/10.9.0.1:4000>10.1.0.1:443", "--json")
-    by_list = run.command(*flow, *source, "--platform", run.url)
+    by_list = run.run_command(*flow, *source, "--platform", run.platform_url)
     assert by_list.returncode == 0, by_list.stderr
     explanations = json.loads(by_list.stdout)
     assert {item["default_target"] for item in explanations} != {"none"}
     assert any(item["home"] == item["vm"] for item in explanations)
-    target = ("show", "--target", "d1", "--vm", f"{run.nodes[0].ip}:6081")
-    by_vm = run.command(*target, *source)
+    target = ("show", "--target", "d1", "--vm", f"{run.entry_vms[0].ip}:6081")
+    by_vm = run.run_command(*target, *source)
     assert "takes new flows by its weight" in by_vm.stdout
-    outsider = run.command(*target, "--from", f"127.{run.block}.7.1")
+    outsider = run.run_command(*target, "--from", f"127.{run.block}.7.1")
     assert outsider.returncode == 6
     assert "vm_silent" in outsider.stderr
-    assert run.command("show", "--flow", "what").returncode == 1
+    assert run.run_command("show", "--flow", "what").returncode == 1
 
 
 def test_dry_run_and_stale_base_change_nothing(run: fleet.Fleet) -> None:
     """Guards against a submission that the operator did not intend."""
     text = run.rules.read_text()
-    run.rules.write_text(text + "drain d1  # asked by Otieno\n")
-    common = ("apply", str(run.rules), "--platform", run.url)
-    dry = run.command(*common, "--dry-run")
-    stale = run.command(*common, "--based-on", "0")
-    run.rules.write_text(text)
+    run.rules_path.write_text(text + "drain d1  # asked by Otieno\n")
+    common = ("apply", str(run.rules_path), "--platform", run.platform_url)
+    dry = run.run_command(*common, "--dry-run")
+    stale = run.run_command(*common, "--based-on", "0")
+    run.rules_path.write_text(text)
     assert dry.returncode == 0
     assert "+drain d1  # asked by Otieno" in dry.stdout
     assert "outcome=dry_run sequence=1" in dry.stdout
@@ -185,9 +187,9 @@
 
 def test_sighup_is_refused_with_a_log_line(run: fleet.Fleet) -> None:
     """Guards against an operator who assumes that SIGHUP reloaded the settings."""
-    run.stop("vm2", signal.SIGHUP)
-    until(lambda: bool(run.lines("vm2", "reload_refused")), "refusal")
-    assert run.running["vm2"].poll() is None
+    run.send_signal("vm2", signal.SIGHUP)
+    until(lambda: bool(run.log_lines("vm2", "reload_refused")), "refusal")
+    assert run.processes["vm2"].poll() is None
 
 
 def test_invalid_input_at_every_port_is_counted_and_survived(run: fleet.Fleet) -> None:
@@ -195,7 +197,7 @@
 
     Corrupt datagrams, and connections from outsiders, reach each port of the VM.
     """
-    node = run.nodes[0]
+    node = run.entry_vms[0]
     invalid_packets = [
         b"",
         b"\x45",
@@ -223,8 +225,8 @@
     until(lambda: counted(run, "vm1", "packets_unsupported") >= 1, "unsupported")
     until(lambda: counted(run, "vm1", "messages_invalid") >= 5, "invalid")
     until(lambda: counted(run, "vm1", "packets_unknown_sender") >= 1, "outsider")
-    assert run.lines("vm1", "link_refused")
-    assert run.running["vm1"].poll() is None
+    assert run.log_lines("vm1", "link_refused")
+    assert run.processes["vm1"].poll() is None
 
 
 def test_vm_started_in_an_outage_gets_its_configuration_from_peers(
@@ -234,17 +236,17 @@
 
     The platform is down when the VM starts.
     """
-    run.switch({"outage": True})
+    run.set_emulator({"outage": True})
     try:
-        node = run.nodes[3]
+        node = run.entry_vms[3]
         settings = run.folder / "vm4.ini"
-        settings.write_text(run.settings(node))
-        run.start("vm4", "entry", str(settings))
+        settings.write_text(run.settings_text(node))
+        run.start_command("vm4", "entry", str(settings))
         await_serving(run, "vm4")
-        line = run.lines("vm4", "config_in_force")[0]
-        assert fleet.field(line, "source") in {"vm1", "vm2", "vm3"}
+        line = run.log_lines("vm4", "config_in_force")[0]
+        assert fleet.log_field(line, "source") in {"vm1", "vm2", "vm3"}
     finally:
-        run.switch({"outage": False})
+        run.set_emulator({"outage": False})
 
 
 def test_terminated_vm_leaves_the_fleet_and_exits(run: fleet.Fleet) -> None:
@@ -253,14 +255,14 @@
     A VM that does not hand over its homes and exit is killed by its supervisor.
     """
     until(lambda: alive(run, "vm1"), "vm1")
-    process = run.running["vm3"]
-    run.list_vm(run.nodes[2], "leaving")
-    run.stop("vm3")
+    process = run.processes["vm3"]
+    run.list_vm(run.entry_vms[2], "leaving")
+    run.send_signal("vm3")
     assert process.wait(STOP_LIMIT_S) == 0
-    assert run.lines("vm3", "vm_stopped")
+    assert run.log_lines("vm3", "vm_stopped")
     until(lambda: has_logged_leave(run, "vm1", "vm3"), "vm1 logged that vm3 left")
     until(lambda: has_logged_leave(run, "vm2", "vm3"), "vm2 logged that vm3 left")
-    run.list_vm(run.nodes[2], "gone")
+    run.list_vm(run.entry_vms[2], "gone")
     assert {item[6] for item in run_callers(run, "callers2")} == {"whole"}
 
 
@@ -269,7 +271,7 @@
 ) -> None:
     """Guards against two processes that share the ports of one VM."""
     settings = tmp_path / "vm1.ini"
-    settings.write_text(run.settings(run.nodes[0]))
-    done = run.command("entry", str(settings))
+    settings.write_text(run.settings_text(run.entry_vms[0]))
+    done = run.run_command("entry", str(settings))
     assert done.returncode == 2
     assert "settings_invalid: [vm]" in done.stderr
--- a/tests/test_process_tls.py
+++ b/tests/test_process_tls.py
@@ -34,24 +34,26 @@
             for name in ("vm1", "vm2", "vm3"):
                 certify(created, name, authority)
             certify(created, "vm4", trustme.CA())
-            created.start("platform", "standin", "platform", created.platform)
+            created.start_command("platform", "standin", "platform", created.platform_address)
             created.await_platform()
-            created.start_vm(created.nodes[0])
-            created.start_vm(created.nodes[1])
-            created.command("apply", str(created.rules), "--platform", created.url)
+            created.start_vm(created.entry_vms[0])
+            created.start_vm(created.entry_vms[1])
+            created.run_command(
+                "apply", str(created.rules_path), "--platform", created.platform_url
+            )
             test_process.await_serving(created, "vm1")
             test_process.await_serving(created, "vm2")
             yield created
         finally:
-            created.end()
+            created.stop_all()
 
 
 def start_unlisted(run: fleet.Fleet, index: int) -> None:
     """Start a VM that the platform does not list."""
-    node = run.nodes[index]
+    node = run.entry_vms[index]
     settings = run.folder / f"{node.name}.ini"
-    settings.write_text(run.settings(node))
-    run.start(node.name, "entry", str(settings))
+    settings.write_text(run.settings_text(node))
+    run.start_command(node.name, "entry", str(settings))
 
 
 def test_configuration_is_sent_only_to_vms_with_valid_certificates(
@@ -62,7 +64,7 @@
     The platform is down while VMs are replaced, so configurations arrive over links
     only. The certificate of one VM is from another authority.
     """
-    run.switch({"outage": True})
+    run.set_emulator({"outage": True})
     start_unlisted(run, 2)
     start_unlisted(run, 3)
     test_process.until(
@@ -78,4 +80,4 @@
         "refused link",
     )
     assert not test_process.in_force(run, "vm4", 1)
-    assert any(run.lines(name, "link_refused") for name in accepting)
+    assert any(run.log_lines(name, "link_refused") for name in accepting)
--- a/tests/test_setting.py
+++ b/tests/test_setting.py
@@ -29,7 +29,7 @@
 def valid(tmp_path: typing.Any) -> str:
     """The settings of one VM of the test fleet."""
     test_fleet = fleet.Fleet(tmp_path, 1)
-    return test_fleet.settings(test_fleet.nodes[0])
+    return test_fleet.settings_text(test_fleet.entry_vms[0])
 
 
 def test_settings_of_the_test_fleet_are_accepted(valid: str) -> None:
