--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -84,7 +84,9 @@
     """Three VMs that have sequence 1 in force; a fourth one is not started."""
     created = fleet.Fleet(tmp_path_factory.mktemp("fleet"), 4, block)
     try:
-        created.start_command("platform", "standin", "platform", created.platform_address)
+        created.start_command(
+            "platform", "standin", "platform", created.platform_address
+        )
         created.await_platform()
         common = ("--platform", created.platform_url)
         created.start_command(
@@ -171,7 +173,7 @@
 
 def test_dry_run_and_stale_base_change_nothing(run: fleet.Fleet) -> None:
     """Guards against a submission that the operator did not intend."""
-    text = run.rules.read_text()
+    text = run.rules_path.read_text()
     run.rules_path.write_text(text + "drain d1  # asked by Otieno\n")
     common = ("apply", str(run.rules_path), "--platform", run.platform_url)
     dry = run.run_command(*common, "--dry-run")
--- a/tests/test_process_tls.py
+++ b/tests/test_process_tls.py
@@ -34,7 +34,9 @@
             for name in ("vm1", "vm2", "vm3"):
                 certify(created, name, authority)
             certify(created, "vm4", trustme.CA())
-            created.start_command("platform", "standin", "platform", created.platform_address)
+            created.start_command(
+                "platform", "standin", "platform", created.platform_address
+            )
             created.await_platform()
             created.start_vm(created.entry_vms[0])
             created.start_vm(created.entry_vms[1])
