--- a/eelgrasswick/emulation/cookie_load.py
+++ b/eelgrasswick/emulation/cookie_load.py
@@ -12,7 +12,7 @@
 import typing
 
 from eelgrasswick.cookie import codec, steering
-from eelgrasswick.emulation import agenda, cookie_scenario, packets, steered_fleet
+from eelgrasswick.emulation import cookie_scenario, packets, scheduler, steered_fleet
 
 HOP_MS: typing.Final = 1
 # Times after which a caller sends an opening packet and its retransmissions.
@@ -123,7 +123,7 @@
         """
         self._load = load
         self._rng = random.Random(seed)
-        self._scheduler = agenda.Scheduler()
+        self._scheduler = scheduler.Scheduler()
         self._targets = [_Target(n, item) for n, item in enumerate(load.servers)]
         self._fleet = steered_fleet.Fleet(
             self._scheduler,
--- a/eelgrasswick/emulation/open_load.py
+++ b/eelgrasswick/emulation/open_load.py
@@ -11,10 +11,10 @@
 
 from eelgrasswick.cookie import codec, steering
 from eelgrasswick.emulation import (
-    agenda,
     cookie_scenario,
     open_scenario,
     packets,
+    scheduler,
     steered_fleet,
 )
 
@@ -116,7 +116,7 @@
         """
         self._load = load
         self._rng = random.Random(seed)
-        self._scheduler = agenda.Scheduler()
+        self._scheduler = scheduler.Scheduler()
         self._targets = [_Target(item) for item in load.servers]
         self._fleet = steered_fleet.Fleet(
             self._scheduler,
--- a/eelgrasswick/emulation/steered_fleet.py
+++ b/eelgrasswick/emulation/steered_fleet.py
@@ -17,7 +17,7 @@
     store_replica,
 )
 from eelgrasswick.decisions import ejection
-from eelgrasswick.emulation import agenda, packets
+from eelgrasswick.emulation import packets, scheduler
 
 # Interval at which VMs exchange their load reports.
 REPORT_INTERVAL_MS: typing.Final = 1000
@@ -112,7 +112,7 @@
 
     def __init__(
         self,
-        scheduler: agenda.Scheduler,
+        call_scheduler: scheduler.Scheduler,
         reader: Rows,
         wire: codec.SegmentCodec,
         targets: typing.Sequence[Reachable],
@@ -122,7 +122,7 @@
         """Start all VMs.
 
         Args:
-            scheduler: Scheduler of the run.
+            call_scheduler: Scheduler of the run.
             reader: Reader of the rows of the store.
             wire: Decodes and encodes packets.
             targets: Targets, in the order of their rows.
@@ -133,7 +133,7 @@
         self.vms: list[Vm] = []
         self.cut_zone = ""
         self.powered_off = False
-        self._scheduler = scheduler
+        self._scheduler = call_scheduler
         self._reader = reader
         self._codec = wire
         self._targets = targets
@@ -142,9 +142,9 @@
         # Rows that were written after the start of the run.
         self._written_rows: dict[str, source.Row] = {}
         self.start()
-        scheduler.call_later(TICK_INTERVAL_MS, self._tick)
-        scheduler.call_later(REPORT_INTERVAL_MS, self._exchange_reports)
-        scheduler.call_later(OVERDUE_CHECK_INTERVAL_MS, self._check_overdue)
+        call_scheduler.call_later(TICK_INTERVAL_MS, self._tick)
+        call_scheduler.call_later(REPORT_INTERVAL_MS, self._exchange_reports)
+        call_scheduler.call_later(OVERDUE_CHECK_INTERVAL_MS, self._check_overdue)
 
     def start(self) -> None:
         """Restart all VMs; they have the rows of the store and no observations."""
