--- a/eelgrasswick/soak/__main__.py
+++ b/eelgrasswick/soak/__main__.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import defer, task
 
-from eelgrasswick.soak import faults, kept, layout, run
+from eelgrasswick.soak import faults, layout, regression_seeds, run
 
 
 def _options() -> argparse.Namespace:
@@ -34,7 +34,7 @@
         range(options.seed, end), faults.KINDS
     )
     if options.kept:
-        seeds = {item.seed: item.kinds for item in kept.SEEDS}
+        seeds = {item.seed: item.kinds for item in regression_seeds.SEEDS}
     failed = 0
     for seed, kinds in seeds.items():
         run_options = run.Options(
--- a/tests/test_soak_kept.py
+++ b/tests/test_soak_regression_seeds.py
@@ -3,7 +3,7 @@
 import pathlib
 import re
 
-from eelgrasswick.soak import faults, kept
+from eelgrasswick.soak import faults, regression_seeds
 
 # The first four faults that seed 12 drew when it failed.
 FAULTS_OF_SEED_12 = [
@@ -19,8 +19,8 @@
     findings = PAGE.read_text().partition("## Findings")[2].partition("## Runs")[0]
     rows = [row.split("|")[1] for row in findings.splitlines() if row.startswith("| ")]
     listed = {int(number) for row in rows for number in re.findall(r"\d+", row)}
-    assert listed == {item.seed for item in kept.SEEDS}
-    assert all(item.cause for item in kept.SEEDS)
+    assert listed == {item.seed for item in regression_seeds.SEEDS}
+    assert all(item.cause for item in regression_seeds.SEEDS)
 
 
 def test_regression_seed_draws_the_same_faults_as_when_it_failed() -> None:
